--- a/Makefile
+++ b/Makefile
@@ -8,12 +8,21 @@
 # reaches a go.mod file of an unused, years-old dependency that the module proxy does not serve.
 GOLANGCI_LINT := github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
 
+# gopls renames identifiers over all packages. It is pinned by its version as well: it doesn't build with the newer
+# golang.org/x/tools that gofumpt needs in tools/go.mod. CI doesn't use it.
+GOPLS := golang.org/x/tools/gopls@v0.23.0
+
 $(TOOLS)/stamp: tools/go.mod tools/go.sum Makefile
 	mkdir -p $(TOOLS)
 	cd tools && go build -o ../$(TOOLS)/ tool
 	GOBIN=$(CURDIR)/$(TOOLS) go install $(GOLANGCI_LINT)
 	touch $@
 
+# gopls is for renames: bin/tools/gopls rename -w FILE:LINE:COLUMN NAME
+$(TOOLS)/gopls: Makefile
+	mkdir -p $(TOOLS)
+	GOBIN=$(CURDIR)/$(TOOLS) go install $(GOPLS)
+
 build:
 	mkdir -p bin
 	go build -o bin/ ./...
