--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	defaultShare = 0.1 // of arrivals
-	defaultFloor = 2   // sends a second
-	defaultBurst = 20  // sends
+	defaultRatio   = 0.1 // sends per request
+	defaultMinRate = 2   // sends per second
+	defaultBurst   = 20  // sends
 )
 
-// Budget bounds the sends beyond the first of each request to a share of real traffic. There is one for
-// each service at each entry.
+// Budget limits the sends beyond the first of each request to a share of the request rate. There is one for
+// each service at each entry daemon.
 //
-// Without it each lost server turns its callers' requests into several, the rest of the servers are overfed
-// and lost in turn. Tokens come from arrivals, not from time, so retries can't outgrow the traffic; the
-// floor lets a service with next to no traffic retry at all.
+// Without it, each lost server would multiply its callers' requests, overload the remaining servers and take
+// them down in turn. Tokens come from requests, not from time, so retries can't exceed their share of the
+// traffic. The minimum rate allows a service with almost no traffic to retry.
 type Budget struct {
-	share  float64
-	floor  float64 // tokens a second
-	burst  float64
-	tokens float64
-	at     mono.Time
+	ratio     float64
+	minRate   float64 // tokens per second
+	burst     float64
+	tokens    float64
+	updatedAt mono.Time
 }
 
-// NewBudget returns a budget with the default share, floor and burst; it starts empty but for the floor.
+// NewBudget returns a budget with the default ratio, minimum rate and burst. It starts with one token.
 func NewBudget(now mono.Time) *Budget {
-	return &Budget{share: defaultShare, floor: defaultFloor, burst: defaultBurst, tokens: 1, at: now}
+	return &Budget{ratio: defaultRatio, minRate: defaultMinRate, burst: defaultBurst, tokens: 1, updatedAt: now}
 }
 
-// Arrive counts one request of a caller.
-func (b *Budget) Arrive() {
-	b.tokens = min(b.tokens+b.share, b.burst)
+// RecordRequest adds the tokens for one request of a caller.
+func (b *Budget) RecordRequest() {
+	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Take pays for one send beyond the first, or reports that there is nothing left.
+// Take takes a token for one send beyond the first, or returns false if none is left.
 func (b *Budget) Take(now mono.Time) bool {
-	if d := now.Sub(b.at); d > 0 {
-		// The floor fills a single token only: stored up over a quiet night it would be a burst.
+	if d := now.Sub(b.updatedAt); d > 0 {
+		// The minimum rate fills at most one token: more would accumulate while idle and allow a burst.
 		if b.tokens < 1 {
-			b.tokens = min(b.tokens+b.floor*d.Seconds(), 1)
+			b.tokens = min(b.tokens+b.minRate*d.Seconds(), 1)
 		}
-		b.at = now
+		b.updatedAt = now
 	}
 	if b.tokens < 1 {
 		return false
@@ -52,76 +52,78 @@
 	return true
 }
 
-// Left returns how many sends the budget pays for, for the state dump.
-func (b *Budget) Left() float64 {
+// Available returns the number of tokens left.
+func (b *Budget) Available() float64 {
 	return b.tokens
 }
 
 const (
 	hedgeQuantile = 0.95
 	quantileStep  = 0.05
-	minHedge      = 2 * time.Millisecond
+	minHedgeDelay = 2 * time.Millisecond
 
-	// sameServer makes hedges to the server that already has the request rarer: they help only against a
-	// connection gone silent, and cost one of its few slots.
-	sameServer = 4
+	// sameServerFactor lengthens the delay of hedges to the server that already has the request. They help only
+	// if its connection is unresponsive, and each takes one of the server's few slots.
+	sameServerFactor = 4
 )
 
-// Delay follows the 95th percentile of a kind's time to answer, in constant memory.
-type Delay struct {
-	q float64 // nanoseconds; 0 before the first answer
+// HedgeDelay estimates the 95th percentile of a kind's response time in constant memory.
+type HedgeDelay struct {
+	p95 float64 // nanoseconds; 0 before the first answer
 }
 
-// Observe takes in the time of one answered send.
+// Observe adds the response time of one send.
 //
-// A send that was cancelled because another answered first must be observed as well, with the time it
-// had taken so far: leaving out the slow ones would pull the estimate, and so all hedges, too low.
-func (d *Delay) Observe(t time.Duration) {
+// Sends that were cancelled because another one answered first must be observed too, with the time until they
+// were cancelled. Without these slow sends the estimate, and so the delay of all hedges, would be too low.
+func (d *HedgeDelay) Observe(t time.Duration) {
 	x := max(float64(t), 1)
 	switch {
-	case d.q == 0:
-		d.q = 2 * x
-	case x > d.q:
-		d.q *= 1 + quantileStep*hedgeQuantile
+	case d.p95 == 0:
+		d.p95 = 2 * x
+	case x > d.p95:
+		d.p95 *= 1 + quantileStep*hedgeQuantile
 	default:
-		d.q *= 1 - quantileStep*(1-hedgeQuantile)
+		d.p95 *= 1 - quantileStep*(1-hedgeQuantile)
 	}
 }
 
-// Hedge returns how long to wait for an answer before a hedge, or false while nothing is known.
-func (d *Delay) Hedge(others bool) (time.Duration, bool) {
-	if d.q == 0 {
+// Delay returns how long to wait for an answer before a hedge, or false before the first observation.
+// Set otherServer if the hedge can go to a server that doesn't have the request.
+func (d *HedgeDelay) Delay(otherServer bool) (time.Duration, bool) {
+	if d.p95 == 0 {
 		return 0, false
 	}
-	t := time.Duration(d.q)
-	if !others {
-		t *= sameServer
+	t := time.Duration(d.p95)
+	if !otherServer {
+		t *= sameServerFactor
 	}
-	return max(t, minHedge), true
+	return max(t, minHedgeDelay), true
 }
 
-// Held bounds the requests at one entry that may wait or are never dropped, so that in an outage they leave
-// memory and the servers' first free slots to the others. A request takes its place before it is accepted:
-// overflow is pushed back to the caller at once, and what is accepted is never refused to make room.
-type Held struct {
+// WaitSlots limits the requests at one entry daemon that may wait or are never dropped. In an outage, their
+// number would otherwise use up the memory, and then the servers' first free slots, at the expense of other
+// requests. A request acquires its slot before it is accepted: without a slot it is refused at once, and
+// accepted requests are never refused to make room.
+type WaitSlots struct {
 	limit int
-	n     int
+	used  int
 }
 
-// NewHeld returns a bound of that many requests.
-func NewHeld(limit int) *Held {
-	return &Held{limit: limit}
+// NewWaitSlots returns limit free slots.
+func NewWaitSlots(limit int) *WaitSlots {
+	return &WaitSlots{limit: limit}
 }
 
-// Len returns how many requests have a place.
-func (h *Held) Len() int {
-	return h.n
+// InUse returns the number of acquired slots.
+func (w *WaitSlots) InUse() int {
+	return w.used
 }
 
-func (h *Held) take() bool {
-	if h.n >= h.limit {
+func (w *WaitSlots) acquire() bool {
+	if w.used >= w.limit {
 		return false
 	}
-	h.n++
+	w.used++
 	return true
 }
--- a/core/retry/outcome.go
+++ b/core/retry/outcome.go
@@ -1,15 +1,15 @@
-// Package retry decides at the entry what becomes of one caller's request: send it, send it again, hedge, wait or give it up.
+// Package retry decides how the entry daemon handles a caller's request: send, retry, hedge, wait or fail.
 package retry
 
-// Outcome is what is certain about one send of a request. The values are those of the wire.
+// Outcome says what is known about one send of a request. Its values are those of the wire protocol.
 type Outcome uint8
 
-// Outcomes; only Answered and Unknown may have run.
+// Outcomes of a send. With Answered and Unknown, the request may have run.
 const (
-	Unknown  Outcome = iota // sent, no whole answer
-	Answered                // answered whole
-	NotRun                  // certain: nothing was sent, or the server said so
-	Moved                   // not run: the receiver is not, or no longer, the home or the owner
+	Unknown  Outcome = iota // sent, but no complete answer was received
+	Answered                // a complete answer was received
+	NotRun                  // nothing was sent, or the server reported that it did not run
+	Moved                   // not run: the receiver is not, or is no longer, the home or the owner
 )
 
 // String returns the outcome in kebab case.
@@ -25,7 +25,7 @@
 	return "unknown"
 }
 
-// Ran reports whether the request may have run.
-func (o Outcome) Ran() bool {
+// MayHaveRun reports whether the request may have run.
+func (o Outcome) MayHaveRun() bool {
 	return o == Unknown || o == Answered
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -8,331 +8,332 @@
 )
 
 const (
-	// freeMoves is how many times a request follows a pointer to a successor without waiting or paying:
-	// nothing was asked of a backend server, and one move of a shard costs each request one step.
+	// freeMoves is how many times a request is redirected to the new home or owner without backoff or budget. No
+	// backend server received it, and one move of a shard redirects each request once.
 	freeMoves = 2
 
 	minBackoff = 10 * time.Millisecond
 	maxBackoff = 2 * time.Second
 
-	// minRetryAfter is the shortest time that a refused caller is told to stay away.
+	// minRetryAfter is the shortest retry delay returned to a refused caller.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// Entry is one caller's request at the entry, from arrival to the final answer.
-type Entry struct {
-	kind     *config.Kind
-	deadline mono.Time
-	hedgeAt  mono.Time
-	wakeAt   mono.Time // when the wait for the next send ends; Never while none is wanted
-	inFlight int
-	sends    int
-	refusals int // in a row, for the backoff
-	moves    int
-	unknown  bool  // a send ended without a whole answer
-	held     *Held // where the request has a place, or nil
-	hedged   bool
-	paid     bool // the next send has its token
-	final    bool
+// Request is the state of one caller's request at the entry daemon, from arrival to the final answer.
+type Request struct {
+	kind       *config.Kind
+	deadline   mono.Time
+	hedgeAt    mono.Time
+	retryAt    mono.Time // time of the next send or check; Never if none is planned
+	inFlight   int
+	sends      int
+	refusals   int // consecutive, for the backoff
+	moves      int
+	mayHaveRun bool       // a send ended without a complete answer
+	waitSlots  *WaitSlots // that the request has a slot of; nil for none
+	hedged     bool
+	hasToken   bool // the token for the next send was already taken
+	finished   bool
 }
 
-// NewEntry starts a request that has just arrived.
-func NewEntry(now mono.Time, k *config.Kind) *Entry {
-	return &Entry{kind: k, deadline: now.Add(k.Timeout), hedgeAt: mono.Never, wakeAt: mono.Never}
+// NewRequest returns the state of a request that arrived now.
+func NewRequest(now mono.Time, k *config.Kind) *Request {
+	return &Request{kind: k, deadline: now.Add(k.Timeout), hedgeAt: mono.Never, retryAt: mono.Never}
 }
 
-// Deadline returns when the caller must have the final answer.
-func (e *Entry) Deadline() mono.Time { return e.deadline }
+// Deadline returns the time by which the caller must receive the final answer.
+func (e *Request) Deadline() mono.Time { return e.deadline }
 
-// Sends returns how often the request was sent so far.
-func (e *Entry) Sends() int { return e.sends }
+// Sends returns how many times the request has been sent.
+func (e *Request) Sends() int { return e.sends }
 
 // InFlight returns how many sends have not ended.
-func (e *Entry) InFlight() int { return e.inFlight }
+func (e *Request) InFlight() int { return e.inFlight }
 
-// Event is what happens to an entry: Came, Ended, Woke or Left.
+// Event is an input to Policy.Next: Arrived, SendEnded, Woken or CallerLeft.
 type Event interface {
 	event()
 }
 
 type (
-	// Came says that the request has arrived and its body, if held, is whole.
-	Came struct {
-		Room bool // some server that may take it is up and has a home, as far as the entry knows
+	// Arrived means that the request has arrived, including its whole body if it is buffered.
+	Arrived struct {
+		Available bool // a server that may accept the request is up and has a home, as far as the entry daemon knows
 	}
 
-	// Ended says how one send ended.
-	Ended struct {
-		Outcome    Outcome
-		RetryAfter mono.Time // with NotRun, when the home expects room; zero when it doesn't say
-		Others     bool      // a server that it wasn't sent to may take it
+	// SendEnded reports the result of one send.
+	SendEnded struct {
+		Outcome     Outcome
+		RetryAfter  mono.Time // with NotRun, when the home expects capacity; zero if unknown
+		OtherServer bool      // another server, which hasn't received the request, may accept it
 	}
 
-	// Woke says that the time of a Wait has come, or that the entry was woken early because of news.
-	Woke struct {
-		Room   bool
-		Others bool
+	// Woken means that the time of a Wait or Send was reached, or that the request was woken early by a change.
+	Woken struct {
+		Available   bool // as in Arrived
+		OtherServer bool // as in SendEnded
 	}
 
-	// Left says that the caller has gone; a final answer follows only for the log.
-	Left struct{}
+	// CallerLeft means that the caller has disconnected; the final answer is only logged.
+	CallerLeft struct{}
 )
 
-func (Came) event()  {}
-func (Ended) event() {}
-func (Woke) event()  {}
-func (Left) event()  {}
+func (Arrived) event()    {}
+func (SendEnded) event()  {}
+func (Woken) event()      {}
+func (CallerLeft) event() {}
 
-// Action is what to do for an entry: Send, Wait or Final.
+// Action is what to do for a request: Send, Wait or Finish.
 type Action interface {
 	action()
 }
 
 type (
-	// Send says to send the request now, to a server that it wasn't sent to if there is one, else on a new
-	// connection. Call Next with Woke at WakeAt.
+	// Send means to send the request now, to a server that hasn't received it or else over a new connection.
+	// Call Next with Woken at WakeAt.
 	Send struct {
 		Hedge  bool
 		WakeAt mono.Time
 	}
 
-	// Wait says to do nothing before Until, unless a send ends.
+	// Wait means to do nothing before Until, unless a send ends.
 	Wait struct {
 		Until mono.Time
 	}
 
-	// Final says to answer the caller at once, and to cancel what is in flight.
-	Final struct {
-		Outcome    Outcome   // Moved becomes NotRun
-		RetryAfter mono.Time // with NotRun, when to come back
+	// Finish means to answer the caller at once and to cancel the sends in flight.
+	Finish struct {
+		Outcome    Outcome   // never Moved, which is reported as NotRun
+		RetryAfter mono.Time // with NotRun, when the caller may retry; zero if it has left
 		Reason     Reason
 	}
 )
 
-func (Send) action()  {}
-func (Wait) action()  {}
-func (Final) action() {}
+func (Send) action()   {}
+func (Wait) action()   {}
+func (Finish) action() {}
 
-// Reason tells callers and logs why a request was given up; kebab case.
+// Reason is the cause of a final answer, in kebab case, for callers and logs.
 type Reason string
 
 // Reasons of final answers.
 const (
 	ReasonAnswered    Reason = "answered"
 	ReasonTimeout     Reason = "timeout"
-	ReasonNoRoom      Reason = "no-room"      // refused everywhere
-	ReasonNoBudget    Reason = "no-budget"    // could be sent again, but retries are used up
-	ReasonMaybeRan    Reason = "maybe-ran"    // sent without a whole answer, and not idempotent
+	ReasonNoRoom      Reason = "no-room"      // refused by all servers that were tried
+	ReasonNoBudget    Reason = "no-budget"    // the request may be sent again, but the retry budget is empty
+	ReasonMaybeRan    Reason = "maybe-ran"    // sent without a complete answer, and not idempotent
 	ReasonUnavailable Reason = "unavailable"  // no server is up
-	ReasonMoving      Reason = "owner-moving" // the key's owner changes, and didn't settle in time
-	ReasonHeldFull    Reason = "held-full"    // too many requests wait already; this one was not accepted
-	ReasonLeft        Reason = "caller-left"
+	ReasonOwnerMoving Reason = "owner-moving" // the key's owner was changing and did not settle in time
+	ReasonHeldFull    Reason = "held-full"    // all wait slots are in use; the request was not accepted
+	ReasonCallerLeft  Reason = "caller-left"
 )
 
-// Policy is what the decisions for one kind of one service share.
+// Policy is the state shared by the decisions for one kind of one service.
 type Policy struct {
-	Budget *Budget
-	Delay  *Delay
-	Held   *Held // nil for no bound
+	Budget     *Budget
+	HedgeDelay *HedgeDelay
+	WaitSlots  *WaitSlots // nil for no limit
 }
 
-// Next decides what to do for the entry after the event. Random is for jitter.
-func (p Policy) Next(now mono.Time, e *Entry, ev Event, random uint64) Action {
-	if e.final {
+// Next returns what to do for the request after the event. The random number is for jitter.
+func (p Policy) Next(now mono.Time, e *Request, ev Event, random uint64) Action {
+	if e.finished {
 		return Wait{Until: mono.Never}
 	}
 	switch v := ev.(type) {
-	case Came:
-		return p.came(now, e, v, random)
-	case Ended:
-		return p.ended(now, e, v, random)
-	case Woke:
-		return p.woke(now, e, v, random)
-	case Left:
-		return e.left()
-	}
-	return e.idle()
+	case Arrived:
+		return p.arrived(now, e, v, random)
+	case SendEnded:
+		return p.sendEnded(now, e, v, random)
+	case Woken:
+		return p.woken(now, e, v, random)
+	case CallerLeft:
+		return e.callerLeft()
+	}
+	return e.wait()
 }
 
-func (p Policy) came(now mono.Time, e *Entry, v Came, random uint64) Action {
-	if p.Held != nil && e.mayWait() {
-		if !p.Held.take() {
-			return e.end(Final{Outcome: NotRun, RetryAfter: now.Add(maxBackoff), Reason: ReasonHeldFull})
+func (p Policy) arrived(now mono.Time, e *Request, v Arrived, random uint64) Action {
+	if p.WaitSlots != nil && e.mayWait() {
+		if !p.WaitSlots.acquire() {
+			return e.finish(Finish{Outcome: NotRun, RetryAfter: now.Add(maxBackoff), Reason: ReasonHeldFull})
 		}
-		e.held = p.Held
+		e.waitSlots = p.WaitSlots
 	}
-	p.Budget.Arrive()
-	if v.Room {
+	p.Budget.RecordRequest()
+	if v.Available {
 		return p.send(now, e, true, false)
 	}
-	return p.hold(now, e, 0, ReasonUnavailable, random)
+	return p.waitOrRefuse(now, e, 0, ReasonUnavailable, random)
 }
 
-func (p Policy) ended(now mono.Time, e *Entry, v Ended, random uint64) Action {
+func (p Policy) sendEnded(now mono.Time, e *Request, v SendEnded, random uint64) Action {
 	e.inFlight--
 	if v.Outcome == Answered {
-		return e.end(Final{Outcome: Answered, Reason: ReasonAnswered})
+		return e.finish(Finish{Outcome: Answered, Reason: ReasonAnswered})
 	}
 	if v.Outcome == Unknown {
-		e.unknown = true
+		e.mayHaveRun = true
 		if !e.kind.Idempotent {
-			return e.end(Final{Outcome: Unknown, Reason: ReasonMaybeRan})
+			return e.finish(Finish{Outcome: Unknown, Reason: ReasonMaybeRan})
 		}
 	}
 	if !now.Before(e.deadline) {
 		return e.timeout(now)
 	}
 	if e.inFlight > 0 {
-		return e.idle() // the other send may still answer
+		return e.wait() // the other send may still be answered
 	}
 	switch v.Outcome {
 	case Moved:
-		return p.moved(now, e, random)
+		return p.retryMoved(now, e, random)
 	case NotRun:
-		return p.refused(now, e, v, random)
+		return p.retryRefused(now, e, v, random)
 	}
 	if p.Budget.Take(now) {
-		return p.send(now, e, v.Others, false)
+		return p.send(now, e, v.OtherServer, false)
 	}
-	return p.hold(now, e, 0, ReasonNoBudget, random)
+	return p.waitOrRefuse(now, e, 0, ReasonNoBudget, random)
 }
 
-// moved sends the request after its key. A shard between two owners answers Moved for as long as the move
-// takes; following at once each time would spin between the daemons, so later ones wait.
-func (p Policy) moved(now mono.Time, e *Entry, random uint64) Action {
+// retryMoved sends the request to the new home or owner. While a shard moves, its requests are answered Moved:
+// following each redirect at once would loop between the daemons, so later ones wait.
+func (p Policy) retryMoved(now mono.Time, e *Request, random uint64) Action {
 	e.moves++
 	if e.moves <= freeMoves {
 		return p.send(now, e, true, false)
 	}
-	return p.later(now, e, 0, ReasonMoving, random)
+	return p.waitWithToken(now, e, 0, ReasonOwnerMoving, random)
 }
 
-// refused decides after a certain refusal: elsewhere at once, or later when the home expects room in time.
-func (p Policy) refused(now mono.Time, e *Entry, v Ended, random uint64) Action {
-	if v.Others && p.Budget.Take(now) {
+// retryRefused handles a send that did not run: it retries on another server at once, or later if the home
+// expects capacity in time.
+func (p Policy) retryRefused(now mono.Time, e *Request, v SendEnded, random uint64) Action {
+	if v.OtherServer && p.Budget.Take(now) {
 		return p.send(now, e, true, false)
 	}
-	if !v.Others && v.RetryAfter > 0 && v.RetryAfter.Before(e.deadline) {
-		return p.later(now, e, v.RetryAfter, ReasonNoRoom, random)
+	if !v.OtherServer && v.RetryAfter > 0 && v.RetryAfter.Before(e.deadline) {
+		return p.waitWithToken(now, e, v.RetryAfter, ReasonNoRoom, random)
 	}
-	return p.hold(now, e, v.RetryAfter, ReasonNoRoom, random)
+	return p.waitOrRefuse(now, e, v.RetryAfter, ReasonNoRoom, random)
 }
 
-// later waits when the time left is enough and the budget pays for the send that follows; the token is
-// taken now, so that many entries can't wait for one token.
-func (p Policy) later(now mono.Time, e *Entry, at mono.Time, r Reason, random uint64) Action {
+// waitWithToken waits if the next send fits before the deadline and the budget has a token for it. The token is
+// taken now, so that several requests can't wait for the same one.
+func (p Policy) waitWithToken(now mono.Time, e *Request, at mono.Time, r Reason, random uint64) Action {
 	if e.mayWait() || !p.Budget.Take(now) {
-		return p.hold(now, e, at, r, random)
+		return p.waitOrRefuse(now, e, at, r, random)
 	}
 	t := e.backoff(now, random)
-	e.wakeAt = max(t, at)
-	if !e.wakeAt.Before(e.deadline) {
+	e.retryAt = max(t, at)
+	if !e.retryAt.Before(e.deadline) {
 		return e.refuse(now, at, r)
 	}
-	e.paid = true
-	return e.idle()
+	e.hasToken = true
+	return e.wait()
 }
 
-// hold waits with backoff if the kind allows it, or gives the final answer at once.
-func (p Policy) hold(now mono.Time, e *Entry, at mono.Time, r Reason, random uint64) Action {
+// waitOrRefuse waits with backoff if the kind allows it, and otherwise gives the final answer at once.
+func (p Policy) waitOrRefuse(now mono.Time, e *Request, at mono.Time, r Reason, random uint64) Action {
 	if !e.mayWait() {
 		return e.refuse(now, at, r)
 	}
-	e.wakeAt = min(max(e.backoff(now, random), at), e.deadline)
-	return e.idle()
+	e.retryAt = min(max(e.backoff(now, random), at), e.deadline)
+	return e.wait()
 }
 
-func (p Policy) woke(now mono.Time, e *Entry, v Woke, random uint64) Action {
+func (p Policy) woken(now mono.Time, e *Request, v Woken, random uint64) Action {
 	if !now.Before(e.deadline) {
 		return e.timeout(now)
 	}
 	if e.inFlight > 0 {
 		return p.hedge(now, e, v)
 	}
-	if now.Before(e.wakeAt) && e.wakeAt != mono.Never && !v.Room {
-		return e.idle()
+	if now.Before(e.retryAt) && e.retryAt != mono.Never && !v.Available {
+		return e.wait()
 	}
 	switch {
-	case !v.Room:
-		return p.hold(now, e, 0, ReasonUnavailable, random)
-	case e.sends == 0 || e.paid:
-		return p.send(now, e, v.Others, false)
+	case !v.Available:
+		return p.waitOrRefuse(now, e, 0, ReasonUnavailable, random)
+	case e.sends == 0 || e.hasToken:
+		return p.send(now, e, v.OtherServer, false)
 	case p.Budget.Take(now):
-		return p.send(now, e, v.Others, false)
+		return p.send(now, e, v.OtherServer, false)
 	}
-	return p.hold(now, e, 0, ReasonNoBudget, random)
+	return p.waitOrRefuse(now, e, 0, ReasonNoBudget, random)
 }
 
-func (p Policy) hedge(now mono.Time, e *Entry, v Woke) Action {
+func (p Policy) hedge(now mono.Time, e *Request, v Woken) Action {
 	if now.Before(e.hedgeAt) {
-		return e.idle()
+		return e.wait()
 	}
 	e.hedgeAt = mono.Never
 	if !p.Budget.Take(now) {
-		return e.idle()
+		return e.wait()
 	}
 	e.hedged = true
-	return p.send(now, e, v.Others, true)
+	return p.send(now, e, v.OtherServer, true)
 }
 
-func (p Policy) send(now mono.Time, e *Entry, others, hedge bool) Action {
-	e.wakeAt = mono.Never
-	e.paid = false
+func (p Policy) send(now mono.Time, e *Request, otherServer, hedge bool) Action {
+	e.retryAt = mono.Never
+	e.hasToken = false
 	e.inFlight++
 	e.sends++
-	// A non-idempotent request is never in flight twice, and a streamed one has nothing whole to compare.
+	// A non-idempotent request is never in flight twice, and a streamed one has no complete answers to compare.
 	if e.kind.Idempotent && !e.kind.Streamed && !e.hedged {
-		if d, ok := p.Delay.Hedge(others); ok {
+		if d, ok := p.HedgeDelay.Delay(otherServer); ok {
 			e.hedgeAt = now.Add(d)
 		}
 	}
 	return Send{Hedge: hedge, WakeAt: min(e.hedgeAt, e.deadline)}
 }
 
-// mayWait reports whether the request may wait for room; one that is never dropped has to.
-func (e *Entry) mayWait() bool {
+// mayWait reports whether the request may wait for capacity. Requests that are never dropped always may.
+func (e *Request) mayWait() bool {
 	return e.kind.MayWait || e.kind.NeverDropped
 }
 
-func (e *Entry) idle() Action {
+func (e *Request) wait() Action {
 	if e.inFlight > 0 {
 		return Wait{Until: min(e.hedgeAt, e.deadline)}
 	}
-	return Wait{Until: min(e.wakeAt, e.deadline)}
+	return Wait{Until: min(e.retryAt, e.deadline)}
 }
 
-func (e *Entry) timeout(now mono.Time) Action {
-	if e.inFlight > 0 || e.unknown {
-		return e.end(Final{Outcome: Unknown, Reason: ReasonTimeout})
+func (e *Request) timeout(now mono.Time) Action {
+	if e.inFlight > 0 || e.mayHaveRun {
+		return e.finish(Finish{Outcome: Unknown, Reason: ReasonTimeout})
 	}
-	return e.end(Final{Outcome: NotRun, RetryAfter: now.Add(minRetryAfter), Reason: ReasonTimeout})
+	return e.finish(Finish{Outcome: NotRun, RetryAfter: now.Add(minRetryAfter), Reason: ReasonTimeout})
 }
 
-func (e *Entry) refuse(now, at mono.Time, r Reason) Action {
-	if e.unknown {
-		return e.end(Final{Outcome: Unknown, Reason: r})
+func (e *Request) refuse(now, at mono.Time, r Reason) Action {
+	if e.mayHaveRun {
+		return e.finish(Finish{Outcome: Unknown, Reason: r})
 	}
-	return e.end(Final{Outcome: NotRun, RetryAfter: max(at, now.Add(minRetryAfter)), Reason: r})
+	return e.finish(Finish{Outcome: NotRun, RetryAfter: max(at, now.Add(minRetryAfter)), Reason: r})
 }
 
-func (e *Entry) left() Action {
-	if e.inFlight > 0 || e.unknown {
-		return e.end(Final{Outcome: Unknown, Reason: ReasonLeft})
+func (e *Request) callerLeft() Action {
+	if e.inFlight > 0 || e.mayHaveRun {
+		return e.finish(Finish{Outcome: Unknown, Reason: ReasonCallerLeft})
 	}
-	return e.end(Final{Outcome: NotRun, Reason: ReasonLeft})
+	return e.finish(Finish{Outcome: NotRun, Reason: ReasonCallerLeft})
 }
 
-func (e *Entry) end(f Final) Action {
-	e.final = true
-	if e.held != nil {
-		e.held.n--
+func (e *Request) finish(f Finish) Action {
+	e.finished = true
+	if e.waitSlots != nil {
+		e.waitSlots.used--
 	}
 	return f
 }
 
-// backoff doubles with each refusal in a row and takes a random part of it off, so that entries that were
-// refused together don't come back together.
-func (e *Entry) backoff(now mono.Time, random uint64) mono.Time {
+// backoff returns the time of the next try. The delay doubles with each consecutive refusal, less a random part,
+// so that requests that were refused together don't retry together.
+func (e *Request) backoff(now mono.Time, random uint64) mono.Time {
 	d := minBackoff << min(e.refusals, 8)
 	d = min(d, maxBackoff)
 	e.refusals++
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -25,169 +25,170 @@
 
 // newPolicy returns a policy with tokens for n sends beyond the first, and a 95th percentile of 10 ms.
 func newPolicy(n float64) Policy {
-	p := Policy{Budget: NewBudget(0), Delay: &Delay{q: float64(10 * ms)}}
+	p := Policy{Budget: NewBudget(0), HedgeDelay: &HedgeDelay{p95: float64(10 * ms)}}
 	p.Budget.tokens = n
-	p.Budget.floor = 0
+	p.Budget.minRate = 0
 	return p
 }
 
-func came(t *testing.T, p Policy, k *config.Kind) *Entry {
-	e := NewEntry(0, k)
-	require.IsType(t, Send{}, p.Next(0, e, Came{Room: true}, 0))
+func arrive(t *testing.T, p Policy, k *config.Kind) *Request {
+	e := NewRequest(0, k)
+	require.IsType(t, Send{}, p.Next(0, e, Arrived{Available: true}, 0))
 	return e
 }
 
-// What follows the end of the first send.
+// Checks the action after each outcome of the first send.
 func TestAfterFirstSend(t *testing.T) {
 	send := Send{WakeAt: 12 * ms}
 	for _, x := range []struct {
 		name   string
 		kind   *config.Kind
 		tokens float64
-		ended  Ended
+		ended  SendEnded
 		want   Action
 	}{
-		{"answered", swap, 9, Ended{Outcome: Answered}, Final{Outcome: Answered, Reason: ReasonAnswered}},
-		{"not idempotent, unknown", swap, 9, Ended{Outcome: Unknown, Others: true}, Final{Outcome: Unknown, Reason: ReasonMaybeRan}},
-		{"not idempotent, not run", swap, 9, Ended{Outcome: NotRun, Others: true}, Send{WakeAt: sec}},
-		{"not run, no budget", swap, 0, Ended{Outcome: NotRun, Others: true}, Final{Outcome: NotRun, RetryAfter: 102 * ms, Reason: ReasonNoRoom}},
-		{"not run, room too late", swap, 9, Ended{Outcome: NotRun, RetryAfter: 3 * sec}, Final{Outcome: NotRun, RetryAfter: 3 * sec, Reason: ReasonNoRoom}},
-		{"not run, room in time", swap, 9, Ended{Outcome: NotRun, RetryAfter: 50 * ms}, Wait{Until: 50 * ms}},
-		{"not run, nothing told", swap, 9, Ended{Outcome: NotRun}, Final{Outcome: NotRun, RetryAfter: 102 * ms, Reason: ReasonNoRoom}},
-		{"moved", swap, 0, Ended{Outcome: Moved}, Send{WakeAt: sec}},
-		{"idempotent, unknown", lookup, 9, Ended{Outcome: Unknown, Others: true}, send},
-		{"idempotent, unknown, same server", lookup, 9, Ended{Outcome: Unknown}, Send{WakeAt: 42 * ms}},
-		{"idempotent, unknown, no budget", lookup, 0, Ended{Outcome: Unknown, Others: true}, Final{Outcome: Unknown, Reason: ReasonNoBudget}},
-		{"may wait, not run", archive, 0, Ended{Outcome: NotRun, Others: true}, Wait{Until: 7 * ms}},
-		{"may wait, room later", archive, 9, Ended{Outcome: NotRun, RetryAfter: 5 * sec}, Wait{Until: 5 * sec}},
-		{"may wait, unknown", plan, 0, Ended{Outcome: Unknown}, Wait{Until: 7 * ms}},
-		{"streamed, unknown", volume, 9, Ended{Outcome: Unknown, Others: true}, Send{WakeAt: 60 * sec}},
+		{"answered", swap, 9, SendEnded{Outcome: Answered}, Finish{Outcome: Answered, Reason: ReasonAnswered}},
+		{"not idempotent, unknown", swap, 9, SendEnded{Outcome: Unknown, OtherServer: true}, Finish{Outcome: Unknown, Reason: ReasonMaybeRan}},
+		{"not idempotent, not run", swap, 9, SendEnded{Outcome: NotRun, OtherServer: true}, Send{WakeAt: sec}},
+		{"not run, no budget", swap, 0, SendEnded{Outcome: NotRun, OtherServer: true}, Finish{Outcome: NotRun, RetryAfter: 102 * ms, Reason: ReasonNoRoom}},
+		{"not run, capacity too late", swap, 9, SendEnded{Outcome: NotRun, RetryAfter: 3 * sec}, Finish{Outcome: NotRun, RetryAfter: 3 * sec, Reason: ReasonNoRoom}},
+		{"not run, capacity in time", swap, 9, SendEnded{Outcome: NotRun, RetryAfter: 50 * ms}, Wait{Until: 50 * ms}},
+		{"not run, no retry time", swap, 9, SendEnded{Outcome: NotRun}, Finish{Outcome: NotRun, RetryAfter: 102 * ms, Reason: ReasonNoRoom}},
+		{"moved", swap, 0, SendEnded{Outcome: Moved}, Send{WakeAt: sec}},
+		{"idempotent, unknown", lookup, 9, SendEnded{Outcome: Unknown, OtherServer: true}, send},
+		{"idempotent, unknown, same server", lookup, 9, SendEnded{Outcome: Unknown}, Send{WakeAt: 42 * ms}},
+		{"idempotent, unknown, no budget", lookup, 0, SendEnded{Outcome: Unknown, OtherServer: true}, Finish{Outcome: Unknown, Reason: ReasonNoBudget}},
+		{"may wait, not run", archive, 0, SendEnded{Outcome: NotRun, OtherServer: true}, Wait{Until: 7 * ms}},
+		{"may wait, capacity later", archive, 9, SendEnded{Outcome: NotRun, RetryAfter: 5 * sec}, Wait{Until: 5 * sec}},
+		{"may wait, unknown", plan, 0, SendEnded{Outcome: Unknown}, Wait{Until: 7 * ms}},
+		{"streamed, unknown", volume, 9, SendEnded{Outcome: Unknown, OtherServer: true}, Send{WakeAt: 60 * sec}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			p := newPolicy(0)
-			e := came(t, p, x.kind)
+			e := arrive(t, p, x.kind)
 			p.Budget.tokens = x.tokens
 			require.Equal(t, x.want, p.Next(2*ms, e, x.ended, 0))
 		})
 	}
 }
 
-// A manager's swap was sent and its home died. The manager is told at once that the outcome is unknown; a
-// second send could register the swap twice, however much budget and time there is.
-func TestNeverTwiceUnlessNotRun(t *testing.T) {
+// Guards against running a non-idempotent request twice. Its home fails after the send: the caller must get the
+// unknown outcome at once, whatever budget and time are left.
+func TestNonIdempotentIsNotResentAfterUnknown(t *testing.T) {
 	p := newPolicy(100)
-	e := came(t, p, swap)
-	require.Equal(t, Wait{Until: sec}, p.Next(500*ms, e, Woke{Room: true, Others: true}, 0), "no hedge")
-	require.Equal(t, Final{Outcome: Unknown, Reason: ReasonMaybeRan}, p.Next(500*ms, e, Ended{Outcome: Unknown, Others: true}, 0))
-	require.Equal(t, Wait{Until: mono.Never}, p.Next(501*ms, e, Woke{Room: true}, 0), "nothing after the final answer")
+	e := arrive(t, p, swap)
+	require.Equal(t, Wait{Until: sec}, p.Next(500*ms, e, Woken{Available: true, OtherServer: true}, 0), "no hedge")
+	require.Equal(t, Finish{Outcome: Unknown, Reason: ReasonMaybeRan}, p.Next(500*ms, e, SendEnded{Outcome: Unknown, OtherServer: true}, 0))
+	require.Equal(t, Wait{Until: mono.Never}, p.Next(501*ms, e, Woken{Available: true}, 0), "nothing after the final answer")
 	require.Equal(t, 1, e.Sends())
 }
 
-// A caller's lookup is with a straggler. After the usual time it is sent to another server as well, once,
-// and the first whole answer counts.
+// Guards against waiting for a slow server: after the usual response time the request is sent to one other server,
+// and the first complete answer counts.
 func TestHedge(t *testing.T) {
 	p := newPolicy(1)
-	e := came(t, p, lookup)
-	require.Equal(t, Wait{Until: 10 * ms}, p.Next(9*ms, e, Woke{Room: true, Others: true}, 0))
-	require.Equal(t, Send{Hedge: true, WakeAt: sec}, p.Next(10*ms, e, Woke{Room: true, Others: true}, 0))
-	require.Equal(t, Wait{Until: sec}, p.Next(30*ms, e, Woke{Room: true, Others: true}, 0), "one hedge")
-	require.Equal(t, Wait{Until: sec}, p.Next(31*ms, e, Ended{Outcome: Unknown}, 0), "the other may still answer")
-	require.Equal(t, Final{Outcome: Answered, Reason: ReasonAnswered}, p.Next(40*ms, e, Ended{Outcome: Answered}, 0))
+	e := arrive(t, p, lookup)
+	require.Equal(t, Wait{Until: 10 * ms}, p.Next(9*ms, e, Woken{Available: true, OtherServer: true}, 0))
+	require.Equal(t, Send{Hedge: true, WakeAt: sec}, p.Next(10*ms, e, Woken{Available: true, OtherServer: true}, 0))
+	require.Equal(t, Wait{Until: sec}, p.Next(30*ms, e, Woken{Available: true, OtherServer: true}, 0), "only one hedge")
+	require.Equal(t, Wait{Until: sec}, p.Next(31*ms, e, SendEnded{Outcome: Unknown}, 0), "the other send may still be answered")
+	require.Equal(t, Finish{Outcome: Answered, Reason: ReasonAnswered}, p.Next(40*ms, e, SendEnded{Outcome: Answered}, 0))
 
 	p = newPolicy(0)
-	e = came(t, p, lookup)
+	e = arrive(t, p, lookup)
 	p.Budget.tokens = 0
-	require.Equal(t, Wait{Until: sec}, p.Next(10*ms, e, Woke{Room: true, Others: true}, 0), "no budget")
-	p.Delay.q = 0
-	require.Equal(t, Send{WakeAt: sec}, p.Next(0, NewEntry(0, lookup), Came{Room: true}, 0), "nothing known yet")
+	require.Equal(t, Wait{Until: sec}, p.Next(10*ms, e, Woken{Available: true, OtherServer: true}, 0), "no budget")
+	p.HedgeDelay.p95 = 0
+	require.Equal(t, Send{WakeAt: sec}, p.Next(0, NewRequest(0, lookup), Arrived{Available: true}, 0), "no hedge before the first observation")
 }
 
-// The caller gets the final answer at the deadline, whatever is still in flight.
+// Guards against a final answer after the deadline while a send is in flight or the request waits.
 func TestTimeout(t *testing.T) {
 	p := newPolicy(0)
-	e := came(t, p, swap)
-	require.Equal(t, Final{Outcome: Unknown, Reason: ReasonTimeout}, p.Next(sec, e, Woke{}, 0))
+	e := arrive(t, p, swap)
+	require.Equal(t, Finish{Outcome: Unknown, Reason: ReasonTimeout}, p.Next(sec, e, Woken{}, 0))
 
-	e = NewEntry(0, plan)
-	require.IsType(t, Wait{}, p.Next(0, e, Came{}, 0))
-	f := p.Next(60*sec, e, Woke{}, 0)
-	require.Equal(t, Final{Outcome: NotRun, RetryAfter: 60*sec + 100*ms, Reason: ReasonTimeout}, f, "never sent")
+	e = NewRequest(0, plan)
+	require.IsType(t, Wait{}, p.Next(0, e, Arrived{}, 0))
+	f := p.Next(60*sec, e, Woken{}, 0)
+	require.Equal(t, Finish{Outcome: NotRun, RetryAfter: 60*sec + 100*ms, Reason: ReasonTimeout}, f, "never sent")
 }
 
-// An archive query is accepted while all servers of its service are gone for almost a minute. It is held,
-// never refused, and sent when there is room again, early if news come.
+// Guards against refusing a request that is never dropped. All its servers are down for almost a minute: it must wait
+// and be sent once one is available, early if it is woken.
 func TestNeverDropped(t *testing.T) {
 	p := newPolicy(0)
-	e := NewEntry(0, archive)
-	a := p.Next(0, e, Came{}, 7)
+	e := NewRequest(0, archive)
+	a := p.Next(0, e, Arrived{}, 7)
 	now := mono.Time(0)
 	for now < 55*sec {
 		w := a.(Wait)
 		require.Greater(t, w.Until, now)
 		require.LessOrEqual(t, w.Until, now.Add(maxBackoff))
 		now = w.Until
-		a = p.Next(now, e, Woke{}, uint64(now))
+		a = p.Next(now, e, Woken{}, uint64(now))
 	}
 	require.Zero(t, e.Sends())
-	require.IsType(t, Send{}, p.Next(now+1, e, Woke{Room: true}, 0))
-	require.IsType(t, Wait{}, p.Next(now+2, e, Ended{Outcome: NotRun}, 0), "refused after all: waits again")
+	require.IsType(t, Send{}, p.Next(now+1, e, Woken{Available: true}, 0))
+	require.IsType(t, Wait{}, p.Next(now+2, e, SendEnded{Outcome: NotRun}, 0), "refused by the server: waits again")
 }
 
-// A caller is not told "not run" of a request whose first send may have run, though its second one was refused
-// or its time ran out while it waited.
-func TestUnknownStays(t *testing.T) {
+// Guards against reporting "not run" for a request whose first send may have run, after its second send was refused
+// or its deadline passed while it waited.
+func TestUnknownIsNotReportedAsNotRun(t *testing.T) {
 	p := newPolicy(1)
-	e := came(t, p, lookup)
-	require.IsType(t, Send{}, p.Next(ms, e, Ended{Outcome: Unknown, Others: true}, 0))
-	require.Equal(t, Final{Outcome: Unknown, Reason: ReasonNoRoom}, p.Next(2*ms, e, Ended{Outcome: NotRun, Others: true}, 0))
+	e := arrive(t, p, lookup)
+	require.IsType(t, Send{}, p.Next(ms, e, SendEnded{Outcome: Unknown, OtherServer: true}, 0))
+	require.Equal(t, Finish{Outcome: Unknown, Reason: ReasonNoRoom}, p.Next(2*ms, e, SendEnded{Outcome: NotRun, OtherServer: true}, 0))
 
-	e = came(t, p, plan)
-	require.IsType(t, Wait{}, p.Next(ms, e, Ended{Outcome: Unknown}, 0))
-	require.Equal(t, Final{Outcome: Unknown, Reason: ReasonTimeout}, p.Next(60*sec, e, Woke{}, 0))
+	e = arrive(t, p, plan)
+	require.IsType(t, Wait{}, p.Next(ms, e, SendEnded{Outcome: Unknown}, 0))
+	require.Equal(t, Finish{Outcome: Unknown, Reason: ReasonTimeout}, p.Next(60*sec, e, Woken{}, 0))
 }
 
-// In an outage archive queries pile up. Those beyond the bound are pushed back before they are accepted;
-// managers' requests take no place, and each place is free again with the final answer or when its caller left.
-func TestHeld(t *testing.T) {
+// Guards against unbounded waiting requests in an outage. Requests beyond the limit are refused before they are
+// accepted, other kinds need no slot, and a slot is released by the final answer or when the caller leaves.
+func TestWaitSlots(t *testing.T) {
 	p := newPolicy(9)
-	p.Held = NewHeld(2)
-	a, b := NewEntry(0, archive), NewEntry(0, plan)
-	require.IsType(t, Wait{}, p.Next(0, a, Came{}, 0))
-	require.IsType(t, Send{}, p.Next(0, b, Came{Room: true}, 0))
-	f := p.Next(0, NewEntry(0, archive), Came{Room: true}, 0)
-	require.Equal(t, Final{Outcome: NotRun, RetryAfter: 2 * sec, Reason: ReasonHeldFull}, f)
-	came(t, p, swap)
-	require.Equal(t, 2, p.Held.Len())
-	require.Equal(t, Final{Outcome: NotRun, Reason: ReasonLeft}, p.Next(ms, a, Left{}, 0))
-	require.IsType(t, Wait{}, p.Next(ms, a, Left{}, 0), "only once")
-	require.Equal(t, 1, p.Held.Len())
-	p.Next(ms, b, Ended{Outcome: Answered}, 0)
-	require.Zero(t, p.Held.Len())
-	e := came(t, p, lookup)
-	require.Equal(t, Final{Outcome: Unknown, Reason: ReasonLeft}, p.Next(ms, e, Left{}, 0))
+	p.WaitSlots = NewWaitSlots(2)
+	a, b := NewRequest(0, archive), NewRequest(0, plan)
+	require.IsType(t, Wait{}, p.Next(0, a, Arrived{}, 0))
+	require.IsType(t, Send{}, p.Next(0, b, Arrived{Available: true}, 0))
+	f := p.Next(0, NewRequest(0, archive), Arrived{Available: true}, 0)
+	require.Equal(t, Finish{Outcome: NotRun, RetryAfter: 2 * sec, Reason: ReasonHeldFull}, f)
+	arrive(t, p, swap)
+	require.Equal(t, 2, p.WaitSlots.InUse())
+	require.Equal(t, Finish{Outcome: NotRun, Reason: ReasonCallerLeft}, p.Next(ms, a, CallerLeft{}, 0))
+	require.IsType(t, Wait{}, p.Next(ms, a, CallerLeft{}, 0), "slot released only once")
+	require.Equal(t, 1, p.WaitSlots.InUse())
+	p.Next(ms, b, SendEnded{Outcome: Answered}, 0)
+	require.Zero(t, p.WaitSlots.InUse())
+	e := arrive(t, p, lookup)
+	require.Equal(t, Finish{Outcome: Unknown, Reason: ReasonCallerLeft}, p.Next(ms, e, CallerLeft{}, 0))
 }
 
 func TestUnavailable(t *testing.T) {
-	f := newPolicy(0).Next(0, NewEntry(0, swap), Came{}, 0)
-	require.Equal(t, Final{Outcome: NotRun, RetryAfter: 100 * ms, Reason: ReasonUnavailable}, f)
+	f := newPolicy(0).Next(0, NewRequest(0, swap), Arrived{}, 0)
+	require.Equal(t, Finish{Outcome: NotRun, RetryAfter: 100 * ms, Reason: ReasonUnavailable}, f)
 }
 
-// A shard is between two owners for long. Callers follow it twice at once, then with pauses, not in a spin.
+// Guards against a busy loop while a shard moves for a long time: a request follows two redirects at once, then with
+// backoff.
 func TestMovedBacksOff(t *testing.T) {
 	p := newPolicy(3)
-	e := came(t, p, swap)
-	require.IsType(t, Send{}, p.Next(ms, e, Ended{Outcome: Moved}, 0))
-	require.IsType(t, Send{}, p.Next(2*ms, e, Ended{Outcome: Moved}, 0))
+	e := arrive(t, p, swap)
+	require.IsType(t, Send{}, p.Next(ms, e, SendEnded{Outcome: Moved}, 0))
+	require.IsType(t, Send{}, p.Next(2*ms, e, SendEnded{Outcome: Moved}, 0))
 	now := 3 * ms
 	for range 3 {
-		w := p.Next(now, e, Ended{Outcome: Moved}, 0).(Wait)
+		w := p.Next(now, e, SendEnded{Outcome: Moved}, 0).(Wait)
 		require.Greater(t, w.Until, now)
 		now = w.Until
-		require.IsType(t, Send{}, p.Next(now, e, Woke{Room: true}, 0))
+		require.IsType(t, Send{}, p.Next(now, e, Woken{Available: true}, 0))
 	}
-	f := p.Next(now, e, Ended{Outcome: Moved}, 0)
-	require.Equal(t, ReasonMoving, f.(Final).Reason)
-	require.Equal(t, NotRun, f.(Final).Outcome)
+	f := p.Next(now, e, SendEnded{Outcome: Moved}, 0)
+	require.Equal(t, ReasonOwnerMoving, f.(Finish).Reason)
+	require.Equal(t, NotRun, f.(Finish).Outcome)
 }
 
 func TestBudget(t *testing.T) {
@@ -195,34 +196,34 @@
 	require.True(t, b.Take(0))
 	require.False(t, b.Take(0))
 	for range 25 {
-		b.Arrive()
+		b.RecordRequest()
 	}
 	require.True(t, b.Take(0))
 	require.True(t, b.Take(0))
 	require.False(t, b.Take(0))
-	require.True(t, b.Take(sec), "the floor")
+	require.True(t, b.Take(sec), "the minimum rate")
 	require.False(t, b.Take(sec))
 	require.True(t, b.Take(3600*sec))
-	require.False(t, b.Take(3600*sec), "a quiet hour is not saved up")
+	require.False(t, b.Take(3600*sec), "an idle hour adds one token")
 	for range 10000 {
-		b.Arrive()
+		b.RecordRequest()
 	}
-	require.InDelta(t, defaultBurst, b.Left(), 1e-9)
+	require.InDelta(t, defaultBurst, b.Available(), 1e-9)
 }
 
-func TestDelayFollowsPercentile(t *testing.T) {
-	d := &Delay{}
+func TestHedgeDelayFollowsPercentile(t *testing.T) {
+	d := &HedgeDelay{}
 	for i := range 20000 { // uniform from 0 to 100 ms
 		d.Observe(time.Duration(i*7919%100) * time.Millisecond)
 	}
-	h, ok := d.Hedge(true)
+	h, ok := d.Delay(true)
 	require.True(t, ok)
 	require.InDelta(t, 95, h.Milliseconds(), 8)
-	h, _ = d.Hedge(false)
+	h, _ = d.Delay(false)
 	require.InDelta(t, 4*95, h.Milliseconds(), 32)
 	for range 2000 {
 		d.Observe(10 * time.Microsecond)
 	}
-	h, _ = d.Hedge(true)
-	require.Equal(t, minHedge, h)
+	h, _ = d.Delay(true)
+	require.Equal(t, minHedgeDelay, h)
 }
--- a/core/retry/storm_test.go
+++ b/core/retry/storm_test.go
@@ -12,11 +12,11 @@
 	"heatherrouter/core/mono"
 )
 
-// event is a step of the simulated entry.
+// event is a step of the simulated entry daemon.
 type event struct {
-	at    mono.Time
-	entry *Entry
-	what  Event
+	at      mono.Time
+	request *Request // nil for the arrival of the next request
+	input   Event
 }
 
 type events []event
@@ -32,26 +32,27 @@
 	return x
 }
 
-// storm runs an entry that sends to eight servers, half of which are lost from 5 s to 10 s, and counts.
+// storm simulates an entry daemon half of whose eight servers are down from 5 s to 10 s, and counts its sends.
 type storm struct {
 	policy   Policy
 	random   *rand.Rand
-	todo     events
-	arrivals [20]int // by second
+	queue    events
+	arrivals [20]int // per second
 	sends    [20]int
 	finals   map[Outcome]int
-	latest   mono.Time // longest time to a final answer
+	latest   mono.Time // latest final answer, relative to the deadline
 }
 
-func (s *storm) lost(now mono.Time) bool {
+func (s *storm) isDown(now mono.Time) bool {
 	return now >= 5*sec && now < 10*sec && s.random.IntN(2) == 0
 }
 
-// outcome is how a send ends: a lost server refuses the dial, resets, or is silent up to the deadline.
-func (s *storm) outcome(now mono.Time, e *Entry) event {
+// outcome returns how a send ends: a server that is down refuses the connection, resets it, or doesn't answer before
+// the deadline.
+func (s *storm) outcome(now mono.Time, e *Request) event {
 	took := 5*time.Millisecond + time.Duration(s.random.ExpFloat64()*float64(5*time.Millisecond))
-	v := Ended{Outcome: Answered, Others: true}
-	if s.lost(now) {
+	v := SendEnded{Outcome: Answered, OtherServer: true}
+	if s.isDown(now) {
 		switch s.random.IntN(3) {
 		case 0:
 			took, v.Outcome = time.Millisecond, NotRun
@@ -65,27 +66,27 @@
 }
 
 func (s *storm) step(v event) {
-	a := s.policy.Next(v.at, v.entry, v.what, s.random.Uint64())
+	a := s.policy.Next(v.at, v.request, v.input, s.random.Uint64())
 	switch a := a.(type) {
 	case Send:
 		s.sends[min(int(v.at/sec), 19)]++
-		heap.Push(&s.todo, s.outcome(v.at, v.entry))
-		heap.Push(&s.todo, event{a.WakeAt, v.entry, Woke{Room: true, Others: true}})
+		heap.Push(&s.queue, s.outcome(v.at, v.request))
+		heap.Push(&s.queue, event{a.WakeAt, v.request, Woken{Available: true, OtherServer: true}})
 	case Wait:
 		if a.Until != mono.Never && a.Until > v.at {
-			heap.Push(&s.todo, event{a.Until, v.entry, Woke{Room: true, Others: true}})
+			heap.Push(&s.queue, event{a.Until, v.request, Woken{Available: true, OtherServer: true}})
 		}
-	case Final:
+	case Finish:
 		s.finals[a.Outcome]++
-		s.latest = max(s.latest, mono.Time(v.at.Sub(v.entry.Deadline())))
+		s.latest = max(s.latest, mono.Time(v.at.Sub(v.request.Deadline())))
 	}
 }
 
 func (s *storm) run(kinds ...*config.Kind) {
-	heap.Push(&s.todo, event{at: 0})
-	for len(s.todo) > 0 {
-		v := heap.Pop(&s.todo).(event)
-		if v.entry != nil {
+	heap.Push(&s.queue, event{at: 0})
+	for len(s.queue) > 0 {
+		v := heap.Pop(&s.queue).(event)
+		if v.request != nil {
 			s.step(v)
 			continue
 		}
@@ -94,18 +95,18 @@
 		}
 		s.arrivals[int(v.at/sec)]++
 		k := kinds[s.random.IntN(len(kinds))]
-		heap.Push(&s.todo, event{v.at, NewEntry(v.at, k), Came{Room: true}})
-		heap.Push(&s.todo, event{at: v.at.Add(time.Duration(s.random.ExpFloat64() * float64(time.Millisecond)))})
+		heap.Push(&s.queue, event{v.at, NewRequest(v.at, k), Arrived{Available: true}})
+		heap.Push(&s.queue, event{at: v.at.Add(time.Duration(s.random.ExpFloat64() * float64(time.Millisecond)))})
 	}
 }
 
-// Callers of the servers that are left notice nothing of the others' loss but its share of load. Half of the
-// servers go at once under a thousand requests a second; refused, reset and silent requests all ask for
-// another send, which without a budget would nearly double the load on the half that is left.
+// Guards against a retry storm that overloads the remaining servers. Half of the servers fail at once under a thousand
+// requests a second. Refused, reset and unanswered requests are all retried, which without a budget would nearly double
+// the load on the other half.
 func TestNoRetryStorm(t *testing.T) {
 	for seed := range uint64(5) {
 		s := &storm{
-			policy: Policy{Budget: NewBudget(0), Delay: &Delay{}},
+			policy: Policy{Budget: NewBudget(0), HedgeDelay: &HedgeDelay{}},
 			random: rand.New(rand.NewPCG(seed, 2)),
 			finals: map[Outcome]int{},
 		}
@@ -114,21 +115,21 @@
 		for i := range s.sends {
 			arrivals += s.arrivals[i]
 			sends += s.sends[i]
-			// In each second, but for what the bucket held and the floor; entries that wait go on after
-			// the last arrival, from the floor alone.
-			limit := float64(s.arrivals[i])*(1+defaultShare) + defaultBurst + defaultFloor
+			// The limit per second includes the burst and the minimum rate. After the last arrival, waiting requests
+			// are sent at the minimum rate alone.
+			limit := float64(s.arrivals[i])*(1+defaultRatio) + defaultBurst + defaultMinRate
 			require.LessOrEqual(t, float64(s.sends[i]), limit, "seed %d, second %d", seed, i)
 		}
-		total := float64(arrivals)*(1+defaultShare) + defaultFloor*75 + 1
+		total := float64(arrivals)*(1+defaultRatio) + defaultMinRate*75 + 1
 		require.LessOrEqual(t, float64(sends), total, "seed %d", seed)
 		finals := 0
 		for _, n := range s.finals {
 			finals += n
 		}
 		require.Equal(t, arrivals, finals, "each request has one final answer")
-		require.LessOrEqual(t, s.latest, mono.Time(0), "none later than its deadline")
+		require.LessOrEqual(t, s.latest, mono.Time(0), "no final answer after its deadline")
 		if seed == 0 {
-			t.Logf("arrivals %d, sends %d (%.3f), in the loss %d for %d, finals %v", arrivals, sends,
+			t.Logf("arrivals %d, sends %d (%.3f), during the failure %d sends for %d arrivals, final answers %v", arrivals, sends,
 				float64(sends)/float64(arrivals), s.sends[7], s.arrivals[7], s.finals)
 		}
 	}
--- a/io/entry/answer.go
+++ b/io/entry/answer.go
@@ -80,7 +80,7 @@
 }
 
 // writeFinal answers a request that no backend server answered whole, at once and with when to come back.
-func (e *Entry) writeFinal(x *fasthttp.RequestCtx, r *request, f retry.Final) {
+func (e *Entry) writeFinal(x *fasthttp.RequestCtx, r *request, f retry.Finish) {
 	x.Response.Header.Set(headerRequestID, r.id)
 	if f.Outcome == retry.Unknown {
 		writeProblem(x, fasthttp.StatusGatewayTimeout, problem{
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -101,8 +101,8 @@
 type policy struct {
 	mu     *sync.Mutex // shared by the kinds of one service, like the next two
 	budget *retry.Budget
-	held   *retry.Held
-	delay  retry.Delay
+	held   *retry.WaitSlots
+	delay  retry.HedgeDelay
 }
 
 // New starts to serve callers on the listener.
@@ -172,7 +172,7 @@
 		return
 	}
 	r := e.newRequest(x, m)
-	var f retry.Final
+	var f retry.Finish
 	if m.Kind.Streamed {
 		f = e.stream(x, r)
 	} else {
@@ -208,17 +208,17 @@
 		}
 	}
 	if p.budget == nil {
-		p.budget, p.held, p.mu = retry.NewBudget(e.o.Clock.Now()), retry.NewHeld(maxHeld), &sync.Mutex{}
+		p.budget, p.held, p.mu = retry.NewBudget(e.o.Clock.Now()), retry.NewWaitSlots(maxHeld), &sync.Mutex{}
 	}
 	e.policies[key] = p
 	return p
 }
 
 // next takes the next decision for a request.
-func (p *policy) next(e *Entry, r *retry.Entry, v retry.Event) retry.Action {
+func (p *policy) next(e *Entry, r *retry.Request, v retry.Event) retry.Action {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x := retry.Policy{Budget: p.budget, Delay: &p.delay, Held: p.held}
+	x := retry.Policy{Budget: p.budget, HedgeDelay: &p.delay, WaitSlots: p.held}
 	return x.Next(e.o.Clock.Now(), r, v, rand.Uint64())
 }
 
--- a/io/entry/stream.go
+++ b/io/entry/stream.go
@@ -24,7 +24,7 @@
 
 // stream answers a request whose bodies may be large: they are passed on as they come, and the request is sent
 // again only when it certainly did not run and nothing of its body has been read.
-func (e *Entry) stream(x *fasthttp.RequestCtx, r *request) retry.Final {
+func (e *Entry) stream(x *fasthttp.RequestCtx, r *request) retry.Finish {
 	head := encodeHead(x, r)
 	body := x.RequestBodyStream()
 	head.BodyFollows = body != nil && x.Request.Header.ContentLength() != 0
@@ -32,27 +32,27 @@
 	act := e.came(r)
 	for {
 		switch a := act.(type) {
-		case retry.Final:
+		case retry.Finish:
 			e.writeFinal(x, r, a)
 			return a
 		case retry.Wait:
 			time.Sleep(min(a.Until.Sub(e.o.Clock.Now()), headLimit))
 			_, others, room := e.pick(r)
-			act = e.next(r, retry.Woke{Room: room, Others: others})
+			act = e.next(r, retry.Woken{Available: room, OtherServer: others})
 		case retry.Send:
 			b := &callerBody{r: body, left: head.GetBodySize()}
 			y, v := e.openOnce(r, head, b)
 			if v.Outcome == retry.Answered {
 				e.passBody(x, r, y)
-				return retry.Final{Outcome: retry.Answered, Reason: retry.ReasonAnswered}
+				return retry.Finish{Outcome: retry.Answered, Reason: retry.ReasonAnswered}
 			}
 			if b.read && v.Outcome != retry.Unknown {
 				// It did not run, but its body is gone: only the caller can send it again.
-				f := retry.Final{Outcome: retry.NotRun, Reason: retry.ReasonNoRoom, RetryAfter: max(v.RetryAfter, e.o.Clock.Now())}
+				f := retry.Finish{Outcome: retry.NotRun, Reason: retry.ReasonNoRoom, RetryAfter: max(v.RetryAfter, e.o.Clock.Now())}
 				e.writeFinal(x, r, f)
 				return f
 			}
-			_, v.Others, _ = e.pick(r)
+			_, v.OtherServer, _ = e.pick(r)
 			act = e.next(r, v)
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // openOnce makes one send up to the head of the answer.
-func (e *Entry) openOnce(r *request, head *wire.Exchange, body io.Reader) (*answer, retry.Ended) {
+func (e *Entry) openOnce(r *request, head *wire.Exchange, body io.Reader) (*answer, retry.SendEnded) {
 	t, ok := e.nextTarget(r)
 	if !ok {
-		return nil, retry.Ended{Outcome: retry.NotRun}
+		return nil, retry.SendEnded{Outcome: retry.NotRun}
 	}
 	r.tried.add(t)
 	h := e.address(r, head, t)
--- a/io/entry/unary.go
+++ b/io/entry/unary.go
@@ -32,7 +32,7 @@
 	first  *target // of the first send, until that has started
 
 	mu     sync.Mutex // guards what a hedge changes while the first send is under way
-	entry  *retry.Entry
+	entry  *retry.Request
 	tried  tried
 	cancel []context.CancelFunc
 
@@ -42,7 +42,7 @@
 // ended is how one send ended.
 type ended struct {
 	answer *wire.ExchangeAnswer // nil when none came
-	event  retry.Ended
+	event  retry.SendEnded
 	took   time.Duration
 }
 
@@ -54,7 +54,7 @@
 		id:     id,
 		named:  named,
 		match:  m,
-		entry:  retry.NewEntry(e.o.Clock.Now(), m.Kind),
+		entry:  retry.NewRequest(e.o.Clock.Now(), m.Kind),
 		policy: e.policy(m.Service, m.Kind),
 		ended:  make(chan ended, maxSends),
 	}
@@ -71,7 +71,7 @@
 }
 
 // unary answers a request whose bodies are held whole.
-func (e *Entry) unary(x *fasthttp.RequestCtx, r *request) retry.Final {
+func (e *Entry) unary(x *fasthttp.RequestCtx, r *request) retry.Finish {
 	body, err := readBody(x)
 	if err != nil {
 		return e.badBody(x, r, err)
@@ -114,7 +114,7 @@
 	return len(p), nil
 }
 
-func (e *Entry) badBody(x *fasthttp.RequestCtx, r *request, err error) retry.Final {
+func (e *Entry) badBody(x *fasthttp.RequestCtx, r *request, err error) retry.Finish {
 	status, reason := fasthttp.StatusBadRequest, "body-cut"
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		status, reason = fasthttp.StatusRequestEntityTooLarge, "body-too-large"
@@ -122,18 +122,18 @@
 	x.SetConnectionClose()
 	x.Response.Header.Set(headerRequestID, r.id)
 	writeProblem(x, status, problem{Outcome: "not-run", Reason: reason, Message: err.Error()})
-	return retry.Final{Outcome: retry.NotRun, Reason: retry.Reason(reason)}
+	return retry.Finish{Outcome: retry.NotRun, Reason: retry.Reason(reason)}
 }
 
 // run sends the request as often as the decisions say, and returns the final one with the answer, if any.
-func (e *Entry) run(r *request, head *wire.Exchange) (retry.Final, *wire.ExchangeAnswer) {
+func (e *Entry) run(r *request, head *wire.Exchange) (retry.Finish, *wire.ExchangeAnswer) {
 	defer r.cancelAll()
 	var last *wire.ExchangeAnswer
 	act := e.came(r)
 	for {
 		var wake mono.Time
 		switch a := act.(type) {
-		case retry.Final:
+		case retry.Finish:
 			return a, last
 		case retry.Send:
 			x := e.sendHere(r, head, a.WakeAt)
@@ -147,7 +147,7 @@
 			continue
 		}
 		_, others, room := e.pick(r)
-		act = e.next(r, retry.Woke{Room: room, Others: others})
+		act = e.next(r, retry.Woken{Available: room, OtherServer: others})
 	}
 }
 
@@ -157,7 +157,7 @@
 	if ok {
 		r.first = &t
 	}
-	return e.next(r, retry.Came{Room: ok})
+	return e.next(r, retry.Arrived{Available: ok})
 }
 
 // next takes the next decision.
@@ -169,13 +169,13 @@
 
 // take hands the end of a send to the decisions; it returns the answer to give, if any, and what to do next.
 func (e *Entry) take(r *request, x ended, last *wire.ExchangeAnswer) (*wire.ExchangeAnswer, retry.Action) {
-	if x.event.Outcome.Ran() {
+	if x.event.Outcome.MayHaveRun() {
 		r.policy.observe(x.took) // one that a hedge cancelled counts with the time that it had taken
 	}
 	if x.event.Outcome == retry.Answered {
 		return x.answer, e.next(r, x.event)
 	}
-	_, x.event.Others, _ = e.pick(r)
+	_, x.event.OtherServer, _ = e.pick(r)
 	return last, e.next(r, x.event)
 }
 
@@ -236,7 +236,7 @@
 func (e *Entry) sendHere(r *request, head *wire.Exchange, wake mono.Time) ended {
 	s, ok := e.start(r, head)
 	if !ok {
-		return ended{event: retry.Ended{Outcome: retry.NotRun}}
+		return ended{event: retry.SendEnded{Outcome: retry.NotRun}}
 	}
 	if wake.Before(r.entry.Deadline()) {
 		t := time.AfterFunc(wake.Sub(e.o.Clock.Now()), func() { e.hedge(r, head, s) })
@@ -257,14 +257,14 @@
 		r.mu.Unlock()
 		return
 	}
-	act := r.policy.next(e, r.entry, retry.Woke{Room: room, Others: others})
+	act := r.policy.next(e, r.entry, retry.Woken{Available: room, OtherServer: others})
 	r.mu.Unlock()
 	if _, ok := act.(retry.Send); !ok {
 		return
 	}
 	s, ok := e.start(r, head)
 	if !ok {
-		r.ended <- ended{event: retry.Ended{Outcome: retry.NotRun}}
+		r.ended <- ended{event: retry.SendEnded{Outcome: retry.NotRun}}
 		return
 	}
 	x := e.finish(s)
@@ -343,14 +343,14 @@
 // outcome turns the end of a send into an event.
 //
 // A home that can't be reached counts as moved: nothing was sent, and its standby may be home by now.
-func (e *Entry) outcome(a *wire.ExchangeAnswer, err error) retry.Ended {
+func (e *Entry) outcome(a *wire.ExchangeAnswer, err error) retry.SendEnded {
 	if err != nil || a == nil {
 		if err != nil && !peer.MaybeSent(err) {
-			return retry.Ended{Outcome: retry.Moved}
+			return retry.SendEnded{Outcome: retry.Moved}
 		}
-		return retry.Ended{Outcome: retry.Unknown}
+		return retry.SendEnded{Outcome: retry.Unknown}
 	}
-	v := retry.Ended{Outcome: retry.Unknown}
+	v := retry.SendEnded{Outcome: retry.Unknown}
 	switch a.GetOutcome() {
 	case wire.Outcome_OUTCOME_ANSWERED:
 		v.Outcome = retry.Answered
