--- a/core/quota/account.go
+++ b/core/quota/account.go
@@ -11,9 +11,9 @@
 
 // account is the coordinator's state for one organisation.
 type account struct {
-	terms         Terms
+	policy        Policy
 	limit         site.Limit
-	level         float64 // of the token bucket; negative when overdrawn
+	level         float64 // tokens in the bucket; negative when overdrawn
 	updatedAt     mono.Time
 	sent          sentWindow
 	outstanding   float64 // tokens held by daemons
@@ -27,8 +27,8 @@
 
 // holding is the coordinator's record of one daemon's tokens for one organisation.
 type holding struct {
-	seq           uint64  // of the latest applied Entry
-	tokens        float64 // held by the daemon
+	seq           uint64  // Seq of the latest applied Entry
+	tokens        float64 // unused tokens held by the daemon
 	precounted    float64 // granted to waiting requests and already counted as sent
 	spent         int64
 	want          float64
@@ -39,10 +39,10 @@
 	credit        float64 // fraction of a token carried over to the next grant
 }
 
-func newAccount(t Terms, l site.Limit, now mono.Time) *account {
+func newAccount(p Policy, l site.Limit, now mono.Time) *account {
 	return &account{
-		terms: t, limit: l, updatedAt: now,
-		sent: sentWindow{length: t.Window + windowMargin}, holdings: map[ident.Daemon]*holding{},
+		policy: p, limit: l, updatedAt: now,
+		sent: sentWindow{length: p.Window + windowMargin}, holdings: map[ident.Daemon]*holding{},
 	}
 }
 
@@ -56,13 +56,13 @@
 	x.updatedAt = now
 	x.sent.advance(now)
 	x.sent.add(fallbackRate * s)
-	x.level = min(x.level+(x.limit.Rate-fallbackRate)*s, x.limit.Burst+x.terms.Slack*slackShare)
+	x.level = min(x.level+(x.limit.Rate-fallbackRate)*s, x.limit.Burst+x.policy.Slack*slackShare)
 	x.level = max(x.level, -x.limit.Rate) // caps the debt at one second's tokens; headroom still enforces the window
 }
 
 // headroom returns how many tokens can be granted without exceeding the window's limit.
 func (x *account) headroom() float64 {
-	return x.terms.maxRequests(x.limit) - x.sent.sum - x.outstanding - x.fallbackBurst
+	return x.policy.maxRequests(x.limit) - x.sent.sum - x.outstanding - x.fallbackBurst
 }
 
 // recordSent counts requests that were, or may have been, sent.
@@ -99,7 +99,7 @@
 	x.outstanding += held - h.tokens
 	h.tokens = held
 	if more := spent - h.precounted; more > 0 {
-		x.recordSent(more) // grants to waiting requests are already counted
+		x.recordSent(more) // tokens granted to waiting requests are already counted
 	} else {
 		x.level -= more // credit tokens that were returned or never arrived
 	}
@@ -125,9 +125,9 @@
 	// waitingReserve is the share of the window's limit that is reserved for waiting requests.
 	waitingReserve = 0.15
 
-	// minStock is how many tokens per daemon may be outstanding, even if the bucket's level is lower, while the bucket is
-	// at least half full.
-	minStock = 2
+	// minCachedPerDaemon is how many tokens per daemon may be outstanding while the bucket is at least half full, even if
+	// the bucket has fewer.
+	minCachedPerDaemon = 2
 
 	// fallbackHorizon is the period for which an organisation's unused rate is added to the fallback bursts.
 	fallbackHorizon = 3 * time.Second
@@ -137,17 +137,17 @@
 )
 
 // grant allocates tokens for a daemon's waiting and expected requests, and updates its fallback limits.
-func (x *account) grant(d ident.Daemon, e Entry, daemons int, unheardRate float64) Grant {
+func (x *account) grant(d ident.Daemon, e Entry, daemons int, unreportedRate float64) Grant {
 	h := x.holdings[d]
 	waiting := math.Floor(max(0, min(float64(e.Waiting), x.level, x.headroom())))
 	x.recordSent(waiting)
 	h.precounted += waiting
-	stock := x.allocateStock(h, daemons)
-	x.outstanding += stock
-	h.tokens += stock
-	x.setFallback(h, daemons, unheardRate)
+	cached := x.allocateCached(h, daemons)
+	x.outstanding += cached
+	h.tokens += cached
+	x.setFallback(h, daemons, unreportedRate)
 	g := Grant{
-		Organisation: e.Organisation, Seq: e.Seq, Tokens: uint64(waiting + stock),
+		Organisation: e.Organisation, Seq: e.Seq, Tokens: uint64(waiting + cached),
 		FallbackRate: h.fallbackRate, FallbackBurst: h.fallbackBurst,
 	}
 	if waiting < float64(e.Waiting) {
@@ -161,7 +161,7 @@
 func (x *account) askDelay() time.Duration {
 	excess := min(1, x.demand/x.limit.Rate-1)
 	s := excess * float64(len(x.holdings)) / x.limit.Rate
-	return max(shortWait, min(longWait, time.Duration(s*float64(time.Second))))
+	return max(minAskDelay, min(maxAskDelay, time.Duration(s*float64(time.Second))))
 }
 
 // retryAfter returns the time needed to serve one second's excess demand at the limit. Callers that retry sooner only compete
@@ -171,17 +171,17 @@
 	return min(maxRetryAfter, time.Duration(s*float64(time.Second)))
 }
 
-// allocateStock returns the daemon's tokens for expected requests, in proportion to the demand of all daemons.
-func (x *account) allocateStock(h *holding, daemons int) float64 {
+// allocateCached returns the daemon's new tokens for expected requests, in proportion to the demand of all daemons.
+func (x *account) allocateCached(h *holding, daemons int) float64 {
 	if h.want <= 0 {
 		h.credit = 0
 		return 0
 	}
 	most := max(0, x.level)
 	if x.level >= x.limit.Burst/2 {
-		most = max(most, float64(minStock*daemons))
+		most = max(most, float64(minCachedPerDaemon*daemons))
 	}
-	spare := min(most-x.outstanding, x.headroom()-waitingReserve*x.terms.maxRequests(x.limit))
+	spare := min(most-x.outstanding, x.headroom()-waitingReserve*x.policy.maxRequests(x.limit))
 	if spare < 1 {
 		return 0
 	}
@@ -193,8 +193,8 @@
 
 // setFallback sets what the daemon may send while no coordinator answers it: its current rate plus a share of the
 // organisation's unused rate.
-func (x *account) setFallback(h *holding, daemons int, unheardRate float64) {
-	left := max(0, x.limit.Rate-unheardRate)
+func (x *account) setFallback(h *holding, daemons int, unreportedRate float64) {
+	left := max(0, x.limit.Rate-unreportedRate)
 	unused := max(0, left-x.rate)
 	share := 1 / float64(daemons)
 	if x.rate > 0 {
--- a/core/quota/cache.go
+++ b/core/quota/cache.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// TokenLife is how long a daemon may use its tokens after sending the last Ask that was answered.
-	TokenLife = 4 * time.Second
+	// TokenTTL is how long a daemon may use its tokens after sending the last Ask that was answered.
+	TokenTTL = 4 * time.Second
 
-	// unheardAfter is the age of the last answered Ask at which the coordinator is considered lost.
-	unheardAfter = 2500 * time.Millisecond
+	// coordinatorTimeout is the age of the last answered Ask at which the coordinator is considered unresponsive.
+	coordinatorTimeout = 2500 * time.Millisecond
 
-	// cutLimit is how long a daemon that is cut off from its site continues to send requests.
-	cutLimit = 5 * time.Second
+	// isolatedSendLimit is how long a daemon that is isolated from its site continues to send requests.
+	isolatedSendLimit = 5 * time.Second
 
 	// arrivalTimeConstant and useTimeConstant are the decay times of the request rate averages.
 	arrivalTimeConstant = 6 * time.Second
@@ -37,7 +37,7 @@
 	// Refused means that no token is available.
 	Refused struct {
 		RetryAfter time.Duration
-		Limited    bool // by the organisation's limit; false if no coordinator could be asked
+		Limited    bool // whether the organisation's limit is the cause; false if no coordinator could be asked
 	}
 )
 
@@ -47,13 +47,13 @@
 
 // TokenCache holds a daemon's tokens.
 type TokenCache struct {
-	terms    Terms
-	life     ident.Incarnation
-	heard    mono.Time // when the last answered Ask was sent
-	balances map[ident.Organisation]*balance
-	lost     mono.Time      // when the coordinator stopped answering; 0 while it answers
-	cut      bool           // the daemon is cut off from the whole site
-	random   func() float64 // returns a number in [0, 1)
+	policy            Policy
+	incarnation       ident.Incarnation
+	answeredAskAt     mono.Time // when the last answered Ask was sent
+	balances          map[ident.Organisation]*balance
+	unresponsiveSince mono.Time      // when the coordinator became unresponsive; 0 while it answers
+	isolated          bool           // the daemon is isolated from the rest of its site
+	random            func() float64 // returns a number in [0, 1)
 }
 
 // balance is the daemon's state for one organisation.
@@ -64,22 +64,22 @@
 	sent           sentWindow
 	waiting        uint64        // requests waiting for a token
 	exhaustedUntil mono.Time     // no more tokens are expected before this time
-	arrivals       rate          // requests
-	uses           rate          // tokens
+	arrivals       rate          // requests, averaged over arrivalTimeConstant
+	uses           rate          // spent tokens, averaged over useTimeConstant
 	demand         rate          // requests, averaged over useTimeConstant
-	retryAfter     time.Duration // minimum for callers while exhausted
+	retryAfter     time.Duration // minimum retry delay for callers while exhausted
 	fallback       fallback
-	unusedBurst    float64 // from earlier terms, kept until the next coordinator answers
+	unusedBurst    float64 // unused fallback bursts of earlier terms, kept until the next coordinator answers
 
-	seq            uint64 // of the last entry
+	seq            uint64 // Seq of lastEntry
 	lastEntry      Entry
-	changed        bool // since lastEntry
+	changed        bool // whether the state has changed since lastEntry
 	unacknowledged bool // lastEntry hasn't been answered
 }
 
 // NewTokenCache returns an empty cache for a daemon that has just started.
-func NewTokenCache(t Terms, life ident.Incarnation, now mono.Time, random func() float64) *TokenCache {
-	return &TokenCache{terms: t, life: life, lost: now, random: random, balances: map[ident.Organisation]*balance{}}
+func NewTokenCache(p Policy, incarnation ident.Incarnation, now mono.Time, random func() float64) *TokenCache {
+	return &TokenCache{policy: p, incarnation: incarnation, unresponsiveSince: now, random: random, balances: map[ident.Organisation]*balance{}}
 }
 
 // Take takes a token for a request of the organisation. Set waited if the request has already waited for one.
@@ -90,11 +90,11 @@
 		b.demand.add(now, useTimeConstant)
 	}
 	switch {
-	case b.tokens > 0 && now.Sub(c.heard) < TokenLife:
+	case b.tokens > 0 && now.Sub(c.answeredAskAt) < TokenTTL:
 		b.tokens--
 		b.recordSent(now)
 		return Granted{}
-	case c.lost > 0:
+	case c.unresponsiveSince > 0:
 		return c.takeFallback(now, b, daemons)
 	case now.Before(b.exhaustedUntil):
 		return Refused{RetryAfter: max(b.retryAfter, b.exhaustedUntil.Sub(now)), Limited: true}
@@ -106,7 +106,7 @@
 func (c *TokenCache) balance(o *site.Organisation) *balance {
 	b := c.balances[o.Name]
 	if b == nil {
-		b = &balance{sent: sentWindow{length: c.terms.Window + windowMargin}}
+		b = &balance{sent: sentWindow{length: c.policy.Window + windowMargin}}
 		c.balances[o.Name] = b
 	}
 	if o.Limit.Rate < b.limit.Rate {
@@ -134,16 +134,16 @@
 	}
 }
 
-// Wait adds d to the number of requests waiting for a token.
-func (c *TokenCache) Wait(n ident.Organisation, d int) {
+// AddWaiting adds d to the number of requests waiting for a token.
+func (c *TokenCache) AddWaiting(n ident.Organisation, d int) {
 	if b := c.balances[n]; b != nil {
 		b.waiting = uint64(max(0, int(b.waiting)+d)) //nolint:gosec // not negative
 	}
 }
 
-// Urgent returns an Ask for the organisations with waiting requests. The granted tokens have to last for the horizon; the term
-// is the coordinator's.
-func (c *TokenCache) Urgent(now mono.Time, horizon time.Duration, term site.Term) Ask {
+// UrgentAsk returns an Ask for the organisations with waiting requests. The granted tokens have to last for the horizon. The
+// term is that of the coordinator that is asked.
+func (c *TokenCache) UrgentAsk(now mono.Time, horizon time.Duration, term site.Term) Ask {
 	return c.ask(now, horizon, term, func(b *balance, _ Entry) bool { return b.waiting > 0 })
 }
 
@@ -157,14 +157,14 @@
 	return a
 }
 
-func (c *TokenCache) ask(now mono.Time, horizon time.Duration, term site.Term, tells func(*balance, Entry) bool) Ask {
-	a := Ask{Life: c.life, Term: term}
+func (c *TokenCache) ask(now mono.Time, horizon time.Duration, term site.Term, include func(*balance, Entry) bool) Ask {
+	a := Ask{Incarnation: c.incarnation, Term: term}
 	for n, b := range c.balances {
-		if now.Sub(c.heard) >= TokenLife {
+		if now.Sub(c.answeredAskAt) >= TokenTTL {
 			b.tokens = 0
 		}
 		e := b.entry(now, n, horizon)
-		if !tells(b, e) {
+		if !include(b, e) {
 			continue
 		}
 		b.seq++
@@ -187,7 +187,7 @@
 	minExpectedRequests = 0.2
 )
 
-// maxCached returns how many tokens a daemon keeps that wants so many.
+// maxCached returns how many tokens a daemon may keep when it wants the given number.
 func maxCached(want uint64) uint64 {
 	if want == 0 {
 		return 0
@@ -220,11 +220,11 @@
 	return int(b.tokens), int(b.sent.sum) //nolint:gosec // request counts
 }
 
-// Answered applies the coordinator's answer to the Ask sent at asked.
-func (c *TokenCache) Answered(now, asked mono.Time, a Answer) {
-	c.heard = max(c.heard, asked)
-	if c.lost > 0 {
-		c.lost = 0
+// ApplyAnswer applies the coordinator's answer to the Ask sent at sentAt.
+func (c *TokenCache) ApplyAnswer(now, sentAt mono.Time, a Answer) {
+	c.answeredAskAt = max(c.answeredAskAt, sentAt)
+	if c.unresponsiveSince > 0 {
+		c.unresponsiveSince = 0
 		for _, b := range c.balances {
 			b.fallback.started = false
 		}
@@ -244,24 +244,26 @@
 	}
 }
 
-// DelayUnanswered delays further asks for organisations that the coordinator's answer left out because it doesn't know them yet.
+// DelayUnanswered delays further asks for organisations that the coordinator's answer omitted because it doesn't know them yet.
 func (c *TokenCache) DelayUnanswered(now mono.Time, a Ask) {
 	for _, e := range a.Entries {
 		if b := c.balances[e.Organisation]; b != nil && b.seq == e.Seq && b.unacknowledged && b.waiting > 0 {
-			b.exhaustedUntil = now.Add(shortWait)
+			b.exhaustedUntil = now.Add(minAskDelay)
 		}
 	}
 }
 
-// Lost records that the coordinator doesn't answer, and whether the daemon is cut off from the rest of its site.
-func (c *TokenCache) Lost(now mono.Time, cut bool) {
-	c.cut = cut
-	if c.lost == 0 {
-		c.lost = now
+// SetCoordinatorUnresponsive records that the coordinator doesn't answer, and whether the daemon is isolated from the rest of
+// its site.
+func (c *TokenCache) SetCoordinatorUnresponsive(now mono.Time, isolated bool) {
+	c.isolated = isolated
+	if c.unresponsiveSince == 0 {
+		c.unresponsiveSince = now
 	}
 }
 
-// Unheard reports whether the coordinator has been silent long enough to be considered lost.
-func (c *TokenCache) Unheard(now mono.Time) bool {
-	return c.lost > 0 || now.Sub(c.heard) > unheardAfter
+// CoordinatorUnresponsive reports whether the coordinator hasn't answered for longer than coordinatorTimeout, or was set
+// unresponsive.
+func (c *TokenCache) CoordinatorUnresponsive(now mono.Time) bool {
+	return c.unresponsiveSince > 0 || now.Sub(c.answeredAskAt) > coordinatorTimeout
 }
--- a/core/quota/fallback.go
+++ b/core/quota/fallback.go
@@ -8,19 +8,20 @@
 	"heatherrouter/core/site"
 )
 
-// fallback limits what a daemon may send without the coordinator.
+// fallback limits the requests that a daemon may send while no coordinator answers.
 type fallback struct {
 	rate  float64   // requests per second
 	burst float64   // requests allowed at once
-	term  site.Term // of the coordinator that set these limits
+	term  site.Term // term of the coordinator that set these limits
 
 	started   bool
 	level     float64
 	updatedAt mono.Time
 }
 
-// lostRetryAfter is the retry delay for callers while no coordinator answers; a new one is usually elected within this time.
-const lostRetryAfter = 500 * time.Millisecond
+// unresponsiveRetryAfter is the retry delay for callers while no coordinator answers; a new one is usually elected within
+// this time.
+const unresponsiveRetryAfter = 500 * time.Millisecond
 
 // minDowntime is a lower bound on the time for which a restarting daemon sends no requests. When all daemons restart together,
 // they may send at once what the limit allows in that time.
@@ -28,18 +29,18 @@
 
 // takeFallback takes a token under the fallback limits.
 func (c *TokenCache) takeFallback(now mono.Time, b *balance, daemons int) Decision {
-	if c.cut && now.Sub(c.lost) > cutLimit {
-		return Refused{RetryAfter: lostRetryAfter}
+	if c.isolated && now.Sub(c.unresponsiveSince) > isolatedSendLimit {
+		return Refused{RetryAfter: unresponsiveRetryAfter}
 	}
 	x := &b.fallback
 	if !x.started {
-		if c.heard == 0 {
+		if c.answeredAskAt == 0 {
 			// No coordinator has answered this incarnation yet.
 			x.rate = b.limit.Rate / float64(max(1, daemons))
 			x.burst = x.rate * minDowntime.Seconds()
 		}
-		// Until then, the coordinator doesn't count this daemon's fallback requests.
-		x.started, x.level, x.updatedAt = true, x.burst, max(c.lost, c.heard.Add(silentAfter))
+		// Before this time, the coordinator doesn't count this daemon's fallback requests.
+		x.started, x.level, x.updatedAt = true, x.burst, max(c.unresponsiveSince, c.answeredAskAt.Add(unresponsiveAfter))
 	}
 	rate := min(x.rate, b.limit.Rate)
 	x.level = min(x.level+rate*max(0, now.Sub(x.updatedAt)).Seconds(), max(1, rate, x.burst))
@@ -49,7 +50,7 @@
 	if x.level < 1 && c.random() >= x.level {
 		x.level = min(x.level, 0)
 		wait := time.Duration((1 - x.level) / math.Max(rate, idleRate) * float64(time.Second))
-		return Refused{RetryAfter: min(wait, lostRetryAfter)}
+		return Refused{RetryAfter: min(wait, unresponsiveRetryAfter)}
 	}
 	x.level--
 	b.recordSent(now)
--- a/core/quota/ledger.go
+++ b/core/quota/ledger.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// silentAfter is the time without an Ask after which a daemon is assumed to send without the coordinator. Daemons ask at
-	// least once a second.
-	silentAfter = 1500 * time.Millisecond
+	// unresponsiveAfter is the time without an Ask after which a daemon is assumed to send without the coordinator. Daemons
+	// ask at least once a second.
+	unresponsiveAfter = 1500 * time.Millisecond
 
-	// shortWait and longWait bound how long daemons wait before asking again for an organisation at its limit.
-	shortWait = 100 * time.Millisecond
-	longWait  = time.Second
+	// minAskDelay and maxAskDelay bound how long daemons wait before asking again for an organisation at its limit.
+	minAskDelay = 100 * time.Millisecond
+	maxAskDelay = time.Second
 
 	// maxRetryAfter bounds the retry delay sent to callers of an organisation over its limit.
 	maxRetryAfter = 5 * time.Second
@@ -26,30 +26,30 @@
 // For each organisation, the requests sent in the current window, the tokens held by daemons and the fallback bursts together
 // stay within the window's limit. A token bucket per organisation paces its requests within the window.
 type Ledger struct {
-	terms    Terms
+	policy   Policy
 	term     site.Term
 	accounts map[ident.Organisation]*account
 	daemons  map[ident.Daemon]*daemonState
 
 	bucketsFilled bool // fillBuckets was called in this term
 
-	silent       []ident.Daemon // heard from in this term, but not within silentAfter
-	unheardShare float64        // share of the daemons without a full Ask in this term
-	daemonCount  int            // in the site
-	refreshedAt  mono.Time      // when the fields above were last updated
+	unresponsive    []ident.Daemon // sent a full Ask in this term, but no Ask within unresponsiveAfter
+	unreportedShare float64        // share of the daemons without a full Ask in this term
+	daemonCount     int            // in the site
+	refreshedAt     mono.Time      // when the fields above were last updated
 }
 
-// daemonState describes a daemon that has been heard from in this term.
+// daemonState describes a daemon that has sent an Ask in this term.
 type daemonState struct {
-	life  ident.Incarnation
-	heard mono.Time
-	full  bool // a full Ask was received
+	incarnation ident.Incarnation
+	lastAskAt   mono.Time
+	hasFullAsk  bool // a full Ask was received
 }
 
-// NewLedger returns the ledger for a new term. Its buckets start empty because the previous coordinator's grants are unknown.
-func NewLedger(t Terms, term site.Term) *Ledger {
+// NewLedger returns the ledger for a new term. The buckets start empty because the previous coordinator's grants are unknown.
+func NewLedger(p Policy, term site.Term) *Ledger {
 	return &Ledger{
-		terms: t, term: term, daemonCount: 1,
+		policy: p, term: term, daemonCount: 1,
 		accounts: map[ident.Organisation]*account{}, daemons: map[ident.Daemon]*daemonState{},
 	}
 }
@@ -69,28 +69,28 @@
 			x.limit = o.Limit
 			continue
 		}
-		l.accounts[n] = newAccount(l.terms, o.Limit, now)
+		l.accounts[n] = newAccount(l.policy, o.Limit, now)
 	}
 }
 
-// Report applies a daemon's Ask. Entries that aren't newer than the last applied ones are ignored.
-func (l *Ledger) Report(now mono.Time, d ident.Daemon, a Ask) {
+// ApplyAsk applies a daemon's Ask. Entries that aren't newer than the last applied ones are ignored.
+func (l *Ledger) ApplyAsk(now mono.Time, d ident.Daemon, a Ask) {
 	if a.Term != l.term {
-		return // its entries lack the requests sent before this term
+		return // its entries omit the requests sent before this term
 	}
 	x := l.daemons[d]
 	switch {
 	case x == nil:
-		x = &daemonState{life: a.Life}
+		x = &daemonState{incarnation: a.Incarnation}
 		l.daemons[d] = x
-	case x.life > a.Life:
+	case x.incarnation > a.Incarnation:
 		return // from an earlier incarnation
-	case x.life < a.Life:
+	case x.incarnation < a.Incarnation:
 		l.removeDaemon(d) // counts the previous incarnation's tokens as spent
-		*x = daemonState{life: a.Life}
+		*x = daemonState{incarnation: a.Incarnation}
 	}
-	x.heard = now
-	x.full = x.full || a.Full
+	x.lastAskAt = now
+	x.hasFullAsk = x.hasFullAsk || a.Full
 	for _, e := range a.Entries {
 		if y := l.accounts[e.Organisation]; y != nil {
 			y.advance(now, l.activeFallbackRate(y))
@@ -99,11 +99,11 @@
 	}
 }
 
-// Grant answers a reported Ask, skipping entries that a newer Ask has superseded.
+// Grant returns the answer to an Ask that was applied before, without entries that a newer Ask has superseded.
 func (l *Ledger) Grant(now mono.Time, d ident.Daemon, a Ask, daemons []ident.Daemon) Answer {
 	l.refreshDaemons(now, daemons)
 	r := Answer{Term: l.term}
-	if x := l.daemons[d]; x == nil || x.life != a.Life || a.Term != l.term {
+	if x := l.daemons[d]; x == nil || x.incarnation != a.Incarnation || a.Term != l.term {
 		return r
 	}
 	for _, e := range a.Entries {
@@ -112,12 +112,12 @@
 			continue
 		}
 		y.advance(now, l.activeFallbackRate(y))
-		r.Grants = append(r.Grants, y.grant(d, e, l.daemonCount, l.unheardFallbackRate(y)))
+		r.Grants = append(r.Grants, y.grant(d, e, l.daemonCount, l.unreportedFallbackRate(y)))
 	}
 	return r
 }
 
-// refreshInterval is the minimum time between two checks for silent daemons.
+// refreshInterval is the minimum time between two checks for unresponsive daemons.
 const refreshInterval = 50 * time.Millisecond
 
 // refreshDaemons finds the daemons that may be sending without the coordinator.
@@ -125,24 +125,24 @@
 	if now.Sub(l.refreshedAt) < refreshInterval {
 		return
 	}
-	l.refreshedAt, l.silent, l.unheardShare, l.daemonCount = now, l.silent[:0], 0, max(1, len(daemons))
+	l.refreshedAt, l.unresponsive, l.unreportedShare, l.daemonCount = now, l.unresponsive[:0], 0, max(1, len(daemons))
 	for _, d := range daemons {
 		x := l.daemons[d]
-		if x == nil || !x.full {
-			l.unheardShare += 1 / float64(len(daemons))
+		if x == nil || !x.hasFullAsk {
+			l.unreportedShare += 1 / float64(len(daemons))
 			continue
 		}
-		if now.Sub(x.heard) > silentAfter {
-			l.silent = append(l.silent, d)
+		if now.Sub(x.lastAskAt) > unresponsiveAfter {
+			l.unresponsive = append(l.unresponsive, d)
 		}
 	}
-	if !l.bucketsFilled && l.unheardShare <= maxUnheardShare {
+	if !l.bucketsFilled && l.unreportedShare <= maxUnreportedShare {
 		l.fillBuckets()
 	}
 }
 
-// maxUnheardShare is the largest share of daemons without a full Ask at which the buckets are filled.
-const maxUnheardShare = 0.05
+// maxUnreportedShare is the largest share of daemons without a full Ask at which the buckets are filled.
+const maxUnreportedShare = 0.05
 
 // fillBuckets adds the burst to each organisation's bucket. It must run only once daemons have reported the requests sent before
 // the term, because the window's limit then holds without the buckets.
@@ -153,20 +153,20 @@
 	}
 }
 
-// unheardFactor scales the share of an organisation's limit that is reserved for daemons not heard from in this term, relative
-// to their share of all daemons.
-const unheardFactor = 2
+// unreportedFactor is the share of an organisation's limit that is reserved for daemons without a full Ask in this term, as a
+// multiple of their share of all daemons.
+const unreportedFactor = 2
 
-// unheardFallbackRate estimates the fallback rate, in requests per second, of the daemons not heard from in this term. It is
-// at most the rate that isn't assigned to other daemons.
-func (l *Ledger) unheardFallbackRate(x *account) float64 {
-	return max(0, min(x.limit.Rate-x.fallbackRate, x.limit.Rate*l.unheardShare*unheardFactor))
+// unreportedFallbackRate estimates the fallback rate, in requests per second, of the daemons without a full Ask in this term.
+// It is at most the rate that isn't assigned to other daemons.
+func (l *Ledger) unreportedFallbackRate(x *account) float64 {
+	return max(0, min(x.limit.Rate-x.fallbackRate, x.limit.Rate*l.unreportedShare*unreportedFactor))
 }
 
 // activeFallbackRate estimates how many requests per second daemons are sending without the coordinator.
 func (l *Ledger) activeFallbackRate(x *account) float64 {
-	rate := l.unheardFallbackRate(x)
-	for _, d := range l.silent {
+	rate := l.unreportedFallbackRate(x)
+	for _, d := range l.unresponsive {
 		if h := x.holdings[d]; h != nil {
 			rate += h.fallbackRate
 		}
@@ -181,7 +181,7 @@
 	Outstanding float64 // tokens held by daemons
 	Available   float64 // tokens in the bucket
 	Demand      float64 // recent requests per second from callers
-	Daemons     int     // number that hold or want tokens
+	Daemons     int     // number of daemons that hold or want tokens
 }
 
 // Usage returns the site-wide use of an organisation's limit, or false if the organisation has no limit.
@@ -192,7 +192,7 @@
 	}
 	x.advance(now, l.activeFallbackRate(x))
 	u := Usage{
-		Sent: x.sent.sum, MaxRequests: l.terms.maxRequests(x.limit), Outstanding: x.outstanding, Available: max(0, x.level),
+		Sent: x.sent.sum, MaxRequests: l.policy.maxRequests(x.limit), Outstanding: x.outstanding, Available: max(0, x.level),
 		Demand: x.demand,
 	}
 	for _, h := range x.holdings {
@@ -203,10 +203,10 @@
 	return u, true
 }
 
-// Forget removes daemons that are no longer in the site and whose tokens have expired.
-func (l *Ledger) Forget(now mono.Time, known func(ident.Daemon) bool) {
+// RemoveDeparted removes daemons that are no longer in the site and whose tokens have expired.
+func (l *Ledger) RemoveDeparted(now mono.Time, known func(ident.Daemon) bool) {
 	for d, x := range l.daemons {
-		if !known(d) && now.Sub(x.heard) > silentAfter+TokenLife {
+		if !known(d) && now.Sub(x.lastAskAt) > unresponsiveAfter+TokenTTL {
 			l.removeDaemon(d)
 			delete(l.daemons, d)
 		}
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,8 +1,8 @@
 // Package quota enforces each organisation's request limit across all daemons.
 //
 // The coordinator's Ledger has one token bucket per organisation and grants tokens to daemons. Each daemon keeps the tokens that
-// it needs until its next Ask in a TokenCache and spends one per request. A daemon that the coordinator doesn't answer continues
-// at a previously set fallback rate, which the coordinator counts as sent for as long as the daemon is silent.
+// it needs until its next Ask in a TokenCache and spends one per request. While the coordinator doesn't answer, a daemon sends
+// at the fallback rate last granted to it. The coordinator counts this rate as sent while it receives no Ask from the daemon.
 //
 // Tokens held by daemons count as sent, so the limit of every window holds regardless of how the tokens are distributed.
 package quota
@@ -14,9 +14,9 @@
 	"heatherrouter/core/site"
 )
 
-// Terms defines how an organisation's limit is enforced.
-type Terms struct {
-	Window    time.Duration // over which requests are counted
+// Policy defines how an organisation's limit is enforced.
+type Policy struct {
+	Window    time.Duration // period over which requests are counted
 	Overshoot float64       // share by which the limit of a window may be exceeded
 	Slack     float64       // additional requests allowed per window
 }
@@ -25,19 +25,19 @@
 const slackShare = 0.5
 
 // maxRequests returns how many requests may be sent in a window.
-func (t Terms) maxRequests(l site.Limit) float64 {
-	return (l.Rate*t.Window.Seconds()+l.Burst)*(1+t.Overshoot) + t.Slack*slackShare
+func (p Policy) maxRequests(l site.Limit) float64 {
+	return (l.Rate*p.Window.Seconds()+l.Burst)*(1+p.Overshoot) + p.Slack*slackShare
 }
 
 // Ask reports a daemon's token usage to the coordinator and requests more tokens.
 type Ask struct {
-	Life    ident.Incarnation
-	Term    site.Term // of the addressed coordinator
-	Full    bool      // set if no changed organisation is omitted
-	Entries []Entry
+	Incarnation ident.Incarnation
+	Term        site.Term // term of the addressed coordinator
+	Full        bool      // whether all changed organisations are included
+	Entries     []Entry
 }
 
-// Entry is the part of an Ask about one organisation. The coordinator uses only the newest one of an incarnation.
+// Entry is the part of an Ask about one organisation. The coordinator ignores all but the newest one of an incarnation.
 type Entry struct {
 	Organisation ident.Organisation
 	Seq          uint64
@@ -58,13 +58,13 @@
 	Grants []Grant
 }
 
-// Grant answers the Entry with the same Seq. The daemon ignores it after sending a newer Entry.
+// Grant is the answer to the Entry with the same Seq. The daemon ignores it after sending a newer Entry.
 type Grant struct {
 	Organisation  ident.Organisation
 	Seq           uint64
 	Tokens        uint64
 	FallbackRate  float64       // requests per second allowed while no coordinator answers
 	FallbackBurst float64       // requests allowed at once while no coordinator answers
-	Wait          time.Duration // until more tokens are likely; set if some waiting requests got none
-	RetryAfter    time.Duration // for callers of refused requests, if demand exceeds the organisation's limit
+	Wait          time.Duration // minimum time before asking again; zero if all waiting requests got a token
+	RetryAfter    time.Duration // retry delay for refused callers; zero if demand is within the organisation's limit
 }
--- a/core/quota/quota_bench_test.go
+++ b/core/quota/quota_bench_test.go
@@ -10,11 +10,11 @@
 	"heatherrouter/core/site"
 )
 
-// BenchmarkLedger measures what one ask costs a coordinator of 820 daemons, each with news of 40 of 10,000 organisations.
+// BenchmarkLedger measures the cost of one Ask to a coordinator of 820 daemons, each with changes to 40 of 10,000 organisations.
 func BenchmarkLedger(b *testing.B) {
-	const daemons, organisations, news = 820, 10_000, 40
+	const daemons, organisations, changed = 820, 10_000, 40
 	now := mono.Time(time.Hour)
-	l := NewLedger(terms, 1)
+	l := NewLedger(policy, 1)
 	m := map[ident.Organisation]*site.Organisation{}
 	names := make([]ident.Organisation, organisations)
 	for i := range names {
@@ -30,24 +30,24 @@
 	for b.Loop() {
 		seq++
 		d := known[seq%daemons]
-		a := Ask{Life: 1, Term: 1, Full: true}
-		for i := range uint64(news) {
+		a := Ask{Incarnation: 1, Term: 1, Full: true}
+		for i := range uint64(changed) {
 			a.Entries = append(a.Entries, Entry{
-				Organisation: names[(seq*news+i)%organisations], Seq: seq, Spent: int64(seq), Want: 1, Rate: 0.3, Demand: 0.3,
+				Organisation: names[(seq*changed+i)%organisations], Seq: seq, Spent: int64(seq), Want: 1, Rate: 0.3, Demand: 0.3,
 			})
 		}
 		now = now.Add(time.Second / daemons)
-		l.Report(now, d, a)
+		l.ApplyAsk(now, d, a)
 		l.Grant(now, d, a, known)
 	}
 }
 
 func BenchmarkTake(b *testing.B) {
 	now := mono.Time(time.Hour)
-	c := NewTokenCache(terms, 1, now, func() float64 { return 0 })
+	c := NewTokenCache(policy, 1, now, func() float64 { return 0 })
 	o := &site.Organisation{Name: "creche", Limit: site.Limit{Rate: 50, Burst: 50}}
 	c.Take(now, o, 1, false)
-	c.Answered(now, now, Answer{Term: 1})
+	c.ApplyAnswer(now, now, Answer{Term: 1})
 	for b.Loop() {
 		c.balances[o.Name].tokens = 1
 		c.Take(now, o, 1, false)
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -46,7 +46,7 @@
 				}
 			},
 		}},
-		{"requests of silent daemons aren't counted", mutation{ledger: func(l *Ledger) { l.refreshedAt = mono.Never }}},
+		{"requests of unresponsive daemons aren't counted", mutation{ledger: func(l *Ledger) { l.refreshedAt = mono.Never }}},
 	}
 	for _, x := range tests {
 		broken := false
@@ -59,7 +59,7 @@
 }
 
 // Guards against using tokens granted under a higher limit long after the limit was lowered.
-func TestLimitFalls(t *testing.T) {
+func TestLimitIsLowered(t *testing.T) {
 	high, low := site.Limit{Rate: 200, Burst: 200}, site.Limit{Rate: 30, Burst: 30}
 	for seed := range uint64(20) {
 		w := newWorld(seed, 12, high)
@@ -101,7 +101,7 @@
 	}
 	w.asks = 0
 	w.run(20 * time.Second)
-	require.Less(t, float64(w.asks)/20/float64(len(w.daemons)), 2.0, "asks per second per daemon, 1.2 of them on regular exchanges")
+	require.Less(t, float64(w.asks)/20/float64(len(w.daemons)), 2.0, "asks per second per daemon, of which 1.2 are regular asks")
 }
 
 // Guards against refusing callers that move to other daemons because the previous daemons still hold the tokens.
--- a/core/quota/sim_test.go
+++ b/core/quota/sim_test.go
@@ -10,7 +10,7 @@
 	"heatherrouter/core/site"
 )
 
-var terms = Terms{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
+var policy = Policy{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
 const (
 	step          = 5 * time.Millisecond
@@ -55,10 +55,10 @@
 	w             *world
 	name          ident.Daemon
 	tokens        *TokenCache
-	life          ident.Incarnation
+	incarnation   ident.Incarnation
 	rate          float64 // requests per second
 	down          bool
-	cut           bool
+	isolated      bool
 	next          mono.Time // time of the next regular ask
 	pending       []int     // number of waits of each waiting request
 	askedAt       mono.Time // time of the regular ask in flight; 0 for none
@@ -80,16 +80,16 @@
 }
 
 func (d *daemon) start() {
-	d.life++
+	d.incarnation++
 	d.down, d.pending, d.askedAt, d.urgentAskedAt = false, nil, 0, 0
-	d.tokens = NewTokenCache(terms, d.life, d.w.now, d.w.rnd.Float64)
+	d.tokens = NewTokenCache(policy, d.incarnation, d.w.now, d.w.rnd.Float64)
 	d.next = d.w.now.Add(time.Duration(d.w.rnd.IntN(300)) * time.Millisecond)
 }
 
 // elect starts a new term, after the previous coordinator has stopped.
 func (w *world) elect() {
 	w.term++
-	w.ledger = NewLedger(terms, w.term)
+	w.ledger = NewLedger(policy, w.term)
 	w.configure()
 	if w.mutation.ledger != nil {
 		w.mutation.ledger(w.ledger)
@@ -127,7 +127,7 @@
 	}
 	if d.askedAt > 0 && d.w.now.Sub(d.askedAt) > askInterval+urgentTimeout || d.urgentAskedAt > 0 && d.w.now.Sub(d.urgentAskedAt) > urgentTimeout {
 		d.askedAt = 0
-		d.tokens.Lost(d.w.now, d.cut)
+		d.tokens.SetCoordinatorUnresponsive(d.w.now, d.isolated)
 		d.retryPending()
 	}
 	switch {
@@ -153,7 +153,7 @@
 	switch d.tokens.Take(d.w.now, d.w.org, len(d.w.daemons), waited > 0).(type) {
 	case Granted:
 		if d.w.rnd.Float64() < 0.05 {
-			d.w.after(20*time.Millisecond, func() { d.returnToken(d.life) })
+			d.w.after(20*time.Millisecond, func() { d.returnToken(d.incarnation) })
 			return
 		}
 		d.w.sends = append(d.w.sends, d.w.now)
@@ -165,13 +165,13 @@
 			return
 		}
 		d.pending = append(d.pending, waited+1)
-		d.tokens.Wait(d.w.org.Name, 1)
+		d.tokens.AddWaiting(d.w.org.Name, 1)
 	}
 }
 
 // returnToken returns the token of a request that wasn't run.
-func (d *daemon) returnToken(life ident.Incarnation) {
-	if d.life == life && !d.down {
+func (d *daemon) returnToken(incarnation ident.Incarnation) {
+	if d.incarnation == incarnation && !d.down {
 		d.tokens.Return(d.w.org.Name)
 	}
 }
@@ -180,11 +180,11 @@
 func (d *daemon) ask(urgent bool) {
 	w := d.w
 	w.asks++
-	life, asked := d.life, w.now
+	incarnation, sentAt := d.incarnation, w.now
 	var a Ask
 	if urgent {
 		w.urgent++
-		a = d.tokens.Urgent(w.now, 2*askInterval, w.term)
+		a = d.tokens.UrgentAsk(w.now, 2*askInterval, w.term)
 	} else {
 		a = d.tokens.Ask(w.now, 2*askInterval, w.term)
 	}
@@ -197,22 +197,22 @@
 	if w.mutation.ask != nil {
 		w.mutation.ask(&a)
 	}
-	if d.cut || w.rnd.Float64() < w.loss {
+	if d.isolated || w.rnd.Float64() < w.loss {
 		return
 	}
 	delay := func() time.Duration { return time.Duration(1+w.rnd.IntN(30)) * time.Millisecond }
 	w.after(delay(), func() {
 		l := w.ledger
-		if l == nil || d.cut {
+		if l == nil || d.isolated {
 			return
 		}
-		l.Report(w.now, d.name, a)
-		hold := 800 * time.Millisecond
+		l.ApplyAsk(w.now, d.name, a)
+		pollWait := 800 * time.Millisecond
 		if urgent {
-			hold = 0
+			pollWait = 0
 		}
-		w.after(hold, func() {
-			if w.ledger != l || d.cut {
+		w.after(pollWait, func() {
+			if w.ledger != l || d.isolated {
 				return
 			}
 			x := l.Grant(w.now, d.name, a, w.names)
@@ -220,16 +220,16 @@
 				return
 			}
 			w.after(delay(), func() {
-				if d.life == life && !d.down && !d.cut {
-					d.applyAnswer(asked, urgent, x)
+				if d.incarnation == incarnation && !d.down && !d.isolated {
+					d.applyAnswer(sentAt, urgent, x)
 				}
 			})
 		})
 	})
 }
 
-func (d *daemon) applyAnswer(asked mono.Time, urgent bool, x Answer) {
-	d.tokens.Answered(d.w.now, asked, x)
+func (d *daemon) applyAnswer(sentAt mono.Time, urgent bool, x Answer) {
+	d.tokens.ApplyAnswer(d.w.now, sentAt, x)
 	if !urgent {
 		d.askedAt = 0
 		return
@@ -242,7 +242,7 @@
 	d.urgentAskedAt = 0
 	l := d.pending
 	d.pending = nil
-	d.tokens.Wait(d.w.org.Name, -len(l))
+	d.tokens.AddWaiting(d.w.org.Name, -len(l))
 	for _, n := range l {
 		d.request(n)
 	}
@@ -252,7 +252,7 @@
 func (w *world) maxInWindow() int {
 	most, first := 0, 0
 	for i, t := range w.sends {
-		for t.Sub(w.sends[first]) > terms.Window {
+		for t.Sub(w.sends[first]) > policy.Window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -276,7 +276,7 @@
 }
 
 func allowed(l site.Limit) int {
-	return int((l.Rate*terms.Window.Seconds()+l.Burst)*(1+terms.Overshoot) + terms.Slack)
+	return int((l.Rate*policy.Window.Seconds()+l.Burst)*(1+policy.Overshoot) + policy.Slack)
 }
 
 // schedule simulates a minute of faults under loads of up to several times the limit.
@@ -297,11 +297,11 @@
 		case 1:
 			n := 1 + w.rnd.IntN(4)
 			for _, x := range w.daemons[:n] {
-				x.cut = true
+				x.isolated = true
 			}
 			w.after(time.Duration(500+w.rnd.IntN(6000))*time.Millisecond, func() {
 				for _, x := range w.daemons[:n] {
-					x.cut = false
+					x.isolated = false
 				}
 			})
 		case 2:
--- a/io/limit/limit.go
+++ b/io/limit/limit.go
@@ -38,7 +38,7 @@
 	Self  ident.Daemon
 	Life  ident.Incarnation
 	View  View
-	Terms quota.Terms
+	Terms quota.Policy
 	Clock *clock.Clock
 	Log   *log.Logger
 }
@@ -124,15 +124,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.Clock.Now()
-	if l.tokens.Unheard(now) {
-		l.tokens.Lost(now, l.o.View.Cut() > cutAfter)
+	if l.tokens.CoordinatorUnresponsive(now) {
+		l.tokens.SetCoordinatorUnresponsive(now, l.o.View.Cut() > cutAfter)
 	}
 	d := l.tokens.Take(now, o, len(l.o.View.Snapshot().Daemons), waited)
 	switch x := d.(type) {
 	case quota.Refused:
 		l.countRefusal(o.Name, x.Limited)
 	case quota.Pending:
-		l.tokens.Wait(o.Name, 1)
+		l.tokens.AddWaiting(o.Name, 1)
 		select {
 		case l.tokenNeeded <- struct{}{}:
 		default:
@@ -144,7 +144,7 @@
 func (l *Limiter) stopWaiting(o *site.Organisation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tokens.Wait(o.Name, -1)
+	l.tokens.AddWaiting(o.Name, -1)
 }
 
 // await reports whether an answer arrived within d.
@@ -233,7 +233,7 @@
 	// The granted tokens have to last until the next ask is answered.
 	now, horizon := l.o.Clock.Now(), 2*elect.SyncWait(s, l.o.Self)
 	if urgent {
-		return encodeAsk(l.tokens.Urgent(now, horizon, s.Coordinator.Term))
+		return encodeAsk(l.tokens.UrgentAsk(now, horizon, s.Coordinator.Term))
 	}
 	return encodeAsk(l.tokens.Ask(now, horizon, s.Coordinator.Term))
 }
@@ -244,9 +244,9 @@
 	defer l.mu.Unlock()
 	now := l.o.Clock.Now()
 	if r == nil {
-		l.tokens.Lost(now, l.o.View.Cut() > cutAfter)
+		l.tokens.SetCoordinatorUnresponsive(now, l.o.View.Cut() > cutAfter)
 	} else {
-		l.tokens.Answered(now, asked, decodeAnswer(r))
+		l.tokens.ApplyAnswer(now, asked, decodeAnswer(r))
 		l.tokens.DelayUnanswered(now, decodeAsk(a))
 	}
 	close(l.answered)
--- a/io/limit/serve.go
+++ b/io/limit/serve.go
@@ -17,7 +17,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if x := l.currentLedger(); x != nil {
-		x.Report(l.o.Clock.Now(), from, a)
+		x.ApplyAsk(l.o.Clock.Now(), from, a)
 	}
 	return a
 }
@@ -51,7 +51,7 @@
 	}
 	if now.Sub(l.forgotAt) >= forgetInterval {
 		l.forgotAt = now
-		l.ledger.Forget(now, func(d ident.Daemon) bool { return s.Daemons[d] != nil })
+		l.ledger.RemoveDeparted(now, func(d ident.Daemon) bool { return s.Daemons[d] != nil })
 	}
 	return l.ledger
 }
@@ -65,7 +65,7 @@
 }
 
 func encodeAsk(a quota.Ask) *wire.QuotaAsk {
-	w := &wire.QuotaAsk{Life: uint64(a.Life), Term: uint64(a.Term), Full: a.Full, Entries: make([]*wire.QuotaEntry, 0, len(a.Entries))}
+	w := &wire.QuotaAsk{Life: uint64(a.Incarnation), Term: uint64(a.Term), Full: a.Full, Entries: make([]*wire.QuotaEntry, 0, len(a.Entries))}
 	for _, e := range a.Entries {
 		w.Entries = append(w.Entries, &wire.QuotaEntry{
 			Organisation: string(e.Organisation), Seq: e.Seq, Spent: e.Spent, Held: e.Held, Waiting: e.Waiting, Want: e.Want,
@@ -78,7 +78,7 @@
 
 func decodeAsk(w *wire.QuotaAsk) quota.Ask {
 	a := quota.Ask{
-		Life: ident.Incarnation(w.GetLife()), Term: site.Term(w.GetTerm()), Full: w.GetFull(),
+		Incarnation: ident.Incarnation(w.GetLife()), Term: site.Term(w.GetTerm()), Full: w.GetFull(),
 		Entries: make([]quota.Entry, 0, len(w.GetEntries())),
 	}
 	for _, e := range w.GetEntries() {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -107,7 +107,7 @@
 	})
 	n.limiter = limit.New(limit.Options{
 		Self: s.Name, Life: n.life, View: n.feed, Clock: n.clock, Log: n.o.Log,
-		Terms: quota.Terms{Window: s.Limits.QuotaWindow, Overshoot: s.Limits.QuotaOvershoot, Slack: s.Limits.QuotaSlack},
+		Terms: quota.Policy{Window: s.Limits.QuotaWindow, Overshoot: s.Limits.QuotaOvershoot, Slack: s.Limits.QuotaSlack},
 	})
 	n.granter = grant.New(grant.Options{
 		Self: s.Name, Life: n.life, Feed: n.feed, Store: n.o.Platform.Store, Speaker: n.o.Platform.Speaker,
