--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	defaultRatio   = 0.1 // sends per request
-	defaultMinRate = 2   // sends per second
-	defaultBurst   = 20  // sends
+	defaultRatio   = 0.1 // tokens per request
+	defaultMinRate = 2   // tokens per second
+	defaultBurst   = 20  // tokens
 )
 
 // Budget limits the sends beyond the first of each request to a share of the request rate. There is one for
 // each service at each entry daemon.
 //
-// Without it, each lost server would multiply its callers' requests, overload the remaining servers and take
+// Without it, each failed server would multiply its callers' requests, overload the remaining servers and take
 // them down in turn. Tokens come from requests, not from time, so retries can't exceed their share of the
 // traffic. The minimum rate allows a service with almost no traffic to retry.
 type Budget struct {
-	ratio     float64
+	ratio     float64 // tokens per request
 	minRate   float64 // tokens per second
 	burst     float64
 	tokens    float64
