--- a/core/source/model_test.go
+++ b/core/source/model_test.go
@@ -14,17 +14,17 @@
 	"heatherrouter/core/site"
 )
 
-// The model plays a site's daemons in steps of virtual time: each asks its peers and the store as its Tracker says, while
-// configurations change, daemons are lost, stand still and come back, and others become the coordinator.
+// The model simulates the daemons of a site in steps of virtual time. Each polls its peers and the store as its Tracker
+// decides, while configurations change, daemons crash, pause and return, and other daemons become the coordinator.
 const (
-	modelStep   = 5 * time.Millisecond
-	modelSpan   = 40 * time.Second
-	calmBefore  = 3 * time.Second // for which a daemon was undisturbed to be judged
-	maxFailWait = 1600 * time.Millisecond
+	modelStep      = 5 * time.Millisecond
+	modelSpan      = 40 * time.Second
+	undisturbedFor = 3 * time.Second // only daemons undisturbed for this long are checked
+	maxRetryGap    = 1600 * time.Millisecond
 )
 
 const (
-	orders = iota
+	configuration = iota
 	control
 	modelTables
 )
@@ -34,51 +34,51 @@
 	name    ident.Daemon
 	tracker *Tracker
 
-	downUntil mono.Time // has lost power
-	stillTil  mono.Time // stands still
-	disturbed mono.Time // when one of both last ended
-	refused   mono.Time // until when the store turns it away
+	downUntil    mono.Time // end of a crash
+	pausedUntil  mono.Time // end of a pause
+	disturbed    mono.Time // when the last crash or pause ends
+	refusedUntil mono.Time // until when the store refuses its polls
 
 	rev  [modelTables]int
 	asOf [modelTables]mono.Time
 
 	call     *Call
-	called   mono.Time
+	calledAt mono.Time
 	resumeAt mono.Time
 
-	asked   [modelTables]mono.Time
-	answer  [modelTables]mono.Time // when the store answers without news; 0 while it isn't asked
-	lookAt  [modelTables]mono.Time // when StoreAt said to look again
-	failGap [modelTables]time.Duration
+	requestedAt [modelTables]mono.Time
+	answerAt    [modelTables]mono.Time // when the store answers without changes; 0 if no poll is pending
+	pollAt      [modelTables]mono.Time // when to call StorePollAt again
+	retryGap    [modelTables]time.Duration
 }
 
-func (n *modelNode) up(now mono.Time) bool { return now >= n.downUntil && now >= n.stillTil }
+func (n *modelNode) up(now mono.Time) bool { return now >= n.downUntil && now >= n.pausedUntil }
 
-// wake makes the duties that ask the store look again, as each change does.
-func (n *modelNode) wake() { n.lookAt = [modelTables]mono.Time{} }
+// pollNow makes the daemon call StorePollAt in the next step for all tables, as after each change.
+func (n *modelNode) pollNow() { n.pollAt = [modelTables]mono.Time{} }
 
 func (n *modelNode) age(now mono.Time) time.Duration {
-	return now.Sub(min(n.asOf[orders], n.asOf[control]))
+	return now.Sub(min(n.asOf[configuration], n.asOf[control]))
 }
 
-// modelSite is the store and all daemons.
+// modelSite simulates the store and all daemons.
 type modelSite struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    mono.Time
-	nodes  []*modelNode
-	byName map[ident.Daemon]*modelNode
-	snaps  []*site.Snapshot // by term
-	rev    [modelTables]int // of the store: versions of the configuration, terms of coordinators
-	acked  []ackedVersion
-	nextAt mono.Time // when the next coordinator takes over
-	voters []ident.Daemon
-	bound  time.Duration
-
-	unstable mono.Time // until when the store turned some daemons away, and calmBefore after that
+	t          *testing.T
+	rng        *rand.Rand
+	now        mono.Time
+	nodes      []*modelNode
+	byName     map[ident.Daemon]*modelNode
+	snaps      []*site.Snapshot // by term
+	rev        [modelTables]int // revisions in the store: configuration versions, coordinator terms
+	acked      []ackedVersion
+	takeoverAt mono.Time // when the next coordinator takes over
+	voters     []ident.Daemon
+	bound      time.Duration
+
+	unstableUntil mono.Time // end of refusals by the store, plus undisturbedFor
 }
 
-// ackedVersion is when a version was acknowledged, and by when daemons in touch have to have it.
+// ackedVersion is when a version was acknowledged, and by when connected daemons must have it.
 type ackedVersion struct{ at, due mono.Time }
 
 func newModelSite(t *testing.T, rng *rand.Rand, daemons int, bound time.Duration) *modelSite {
@@ -102,13 +102,13 @@
 	return m
 }
 
-// restart begins a life of the daemon that knows nothing but the members of the site.
+// restart resets the daemon to its state after a process start, when it knows only the members of the site.
 func (m *modelSite) restart(n *modelNode) {
 	n.tracker = New(n.name, m.rng.IntN)
-	n.rev, n.asOf, n.asked, n.answer = [modelTables]int{}, [modelTables]mono.Time{}, [modelTables]mono.Time{}, [modelTables]mono.Time{}
-	n.failGap = [modelTables]time.Duration{}
+	n.rev, n.asOf, n.requestedAt, n.answerAt = [modelTables]int{}, [modelTables]mono.Time{}, [modelTables]mono.Time{}, [modelTables]mono.Time{}
+	n.retryGap = [modelTables]time.Duration{}
 	n.call, n.resumeAt = nil, m.now
-	n.wake()
+	n.pollNow()
 }
 
 func (m *modelSite) snap(n *modelNode) *site.Snapshot { return m.snaps[n.rev[control]] }
@@ -117,19 +117,19 @@
 
 func (m *modelSite) leader() *modelNode { return m.byName[m.snaps[len(m.snaps)-1].Coordinator.Daemon] }
 
-func (m *modelSite) lose(n *modelNode, d time.Duration) {
+func (m *modelSite) crash(n *modelNode, d time.Duration) {
 	if n.up(m.now) {
 		n.downUntil, n.disturbed = m.now.Add(d), m.now.Add(d)
 	}
 }
 
-func (m *modelSite) freeze(n *modelNode, d time.Duration) {
+func (m *modelSite) pause(n *modelNode, d time.Duration) {
 	if n.up(m.now) {
-		n.stillTil, n.disturbed = m.now.Add(d), m.now.Add(d)
+		n.pausedUntil, n.disturbed = m.now.Add(d), m.now.Add(d)
 	}
 }
 
-// step plays one step of all daemons.
+// step advances the time by modelStep and runs all daemons once.
 func (m *modelSite) step() {
 	m.now = m.now.Add(modelStep)
 	m.elect()
@@ -142,24 +142,24 @@
 			continue
 		}
 		for t := range modelTables {
-			m.store(n, t)
+			m.pollStore(n, t)
 		}
-		m.follow(n)
+		m.pollPeers(n)
 	}
-	m.judge()
+	m.check()
 }
 
-// elect lets a voter take over some time after the coordinator was lost.
+// elect makes a voter the coordinator some time after the previous one crashed or paused.
 func (m *modelSite) elect() {
 	if m.leader().up(m.now) {
-		m.nextAt = 0
+		m.takeoverAt = 0
 		return
 	}
-	if m.nextAt == 0 {
-		m.nextAt = m.now.Add(time.Second + time.Duration(m.rng.Int64N(int64(1600*time.Millisecond))))
+	if m.takeoverAt == 0 {
+		m.takeoverAt = m.now.Add(time.Second + time.Duration(m.rng.Int64N(int64(1600*time.Millisecond))))
 	}
 	n := m.byName[m.voters[m.rng.IntN(len(m.voters))]]
-	if m.now < m.nextAt || !n.up(m.now) || m.now < n.refused || n.rev[control] != m.rev[control] {
+	if m.now < m.takeoverAt || !n.up(m.now) || m.now < n.refusedUntil || n.rev[control] != m.rev[control] {
 		return
 	}
 	x := *m.snaps[0]
@@ -167,7 +167,7 @@
 	m.snaps = append(m.snaps, &x)
 	m.rev[control]++
 	m.learn(n, control, m.rev[control])
-	m.nextAt = 0
+	m.takeoverAt = 0
 }
 
 func (m *modelSite) learn(n *modelNode, t, rev int) {
@@ -176,46 +176,46 @@
 	}
 	n.rev[t] = rev
 	if t == control {
-		n.tracker.NewCoordinator()
+		n.tracker.CoordinatorChanged()
 	}
-	n.wake()
+	n.pollNow()
 }
 
-// store plays the duty that asks the store for a table.
-func (m *modelSite) store(n *modelNode, t int) {
-	if n.answer[t] > 0 {
+// pollStore plays the duty that asks the pollStore for a table.
+func (m *modelSite) pollStore(n *modelNode, t int) {
+	if n.answerAt[t] > 0 {
 		m.storeAnswer(n, t)
 		return
 	}
-	if m.now < n.lookAt[t] {
+	if m.now < n.pollAt[t] {
 		return
 	}
 	at := m.now
 	if !m.leads(n) && n.asOf[t] > 0 {
-		at = n.tracker.StoreAt(m.now, m.snap(n), Copy{AsOf: n.asOf[t], Asked: n.asked[t], Control: t == control})
+		at = n.tracker.StorePollAt(m.now, m.snap(n), Copy{AsOf: n.asOf[t], RequestedAt: n.requestedAt[t], Control: t == control})
 	}
-	if n.lookAt[t] = at; at > m.now {
+	if n.pollAt[t] = at; at > m.now {
 		return
 	}
-	n.asked[t] = m.now
-	if m.now < n.refused {
-		n.failGap[t] = min(max(2*n.failGap[t], 50*time.Millisecond), maxFailWait)
-		n.lookAt[t] = m.now.Add(n.failGap[t])
+	n.requestedAt[t] = m.now
+	if m.now < n.refusedUntil {
+		n.retryGap[t] = min(max(2*n.retryGap[t], 50*time.Millisecond), maxRetryGap)
+		n.pollAt[t] = m.now.Add(n.retryGap[t])
 		return
 	}
-	n.failGap[t] = 0
-	n.answer[t] = m.now.Add(modelStep + Hold(m.now.Sub(n.asOf[t])))
+	n.retryGap[t] = 0
+	n.answerAt[t] = m.now.Add(modelStep + PollWait(m.now.Sub(n.asOf[t])))
 }
 
 func (m *modelSite) storeAnswer(n *modelNode, t int) {
-	if m.rev[t] > n.rev[t] || m.now >= n.answer[t] {
-		n.answer[t], n.asOf[t], n.lookAt[t] = 0, m.now, m.now
+	if m.rev[t] > n.rev[t] || m.now >= n.answerAt[t] {
+		n.answerAt[t], n.asOf[t], n.pollAt[t] = 0, m.now, m.now
 		m.learn(n, t, m.rev[t])
 	}
 }
 
-// follow plays the duty that asks peers.
-func (m *modelSite) follow(n *modelNode) {
+// pollPeers runs the daemon's polls of its peers.
+func (m *modelSite) pollPeers(n *modelNode) {
 	if n.call != nil {
 		m.peerAnswer(n)
 		return
@@ -225,119 +225,119 @@
 	}
 	x, ok := n.tracker.Next(m.now, m.snap(n))
 	if !ok {
-		n.tracker.Rested()
+		n.tracker.NoPeers()
 		n.resumeAt = m.now.Add(500 * time.Millisecond)
 		return
 	}
-	n.call, n.called = &x, m.now
+	n.call, n.calledAt = &x, m.now
 }
 
 func (m *modelSite) peerAnswer(n *modelNode) {
 	x, p := *n.call, m.byName[n.call.Peer]
-	silent, behind := n.tracker.Silent(), n.tracker.Behind()
-	news := p.rev[orders] > n.rev[orders] || p.rev[control] > n.rev[control]
+	silent, behind := n.tracker.CoordinatorUnresponsive(), n.tracker.CoordinatorOutdated()
+	news := p.rev[configuration] > n.rev[configuration] || p.rev[control] > n.rev[control]
 	age := p.age(m.now)
 	switch {
-	case m.now >= x.Until:
+	case m.now >= x.Deadline:
 		n.tracker.Failed(m.now, m.snap(n), x)
-		n.call, n.resumeAt = nil, n.called.Add(n.tracker.Pause(m.snap(n)))
-	case p.up(m.now) && m.now > n.called && (news || age >= OldCopy || m.now >= n.called.Add(x.Wait)):
+		n.call, n.resumeAt = nil, n.calledAt.Add(n.tracker.Pause(m.snap(n)))
+	case p.up(m.now) && m.now > n.calledAt && (news || age >= OutdatedAge || m.now >= n.calledAt.Add(x.Wait)):
 		for t := range modelTables {
 			n.asOf[t] = max(n.asOf[t], m.now.Add(-age))
 			m.learn(n, t, p.rev[t])
 		}
 		n.call, n.resumeAt = nil, m.now
 		if !n.tracker.Answered(m.now, m.snap(n), x.Peer, age) {
-			n.resumeAt = n.called.Add(n.tracker.Pause(m.snap(n)))
+			n.resumeAt = n.calledAt.Add(n.tracker.Pause(m.snap(n)))
 		}
 	}
-	if silent != n.tracker.Silent() || behind != n.tracker.Behind() {
-		n.wake()
+	if silent != n.tracker.CoordinatorUnresponsive() || behind != n.tracker.CoordinatorOutdated() {
+		n.pollNow()
 	}
 }
 
-// judge checks the versions whose bound ends now.
-func (m *modelSite) judge() {
+// check requires that undisturbed daemons have the versions that are due in this step.
+func (m *modelSite) check() {
 	for v, x := range m.acked {
 		if x.due > m.now || m.now.Sub(x.due) >= modelStep {
 			continue
 		}
 		for _, n := range m.nodes {
-			if n.up(m.now) && x.at.Sub(n.disturbed) >= calmBefore {
-				require.GreaterOrEqual(m.t, n.rev[orders], v, "%s %v after version %d: silent %v behind %v relay %q call %v age %v",
-					n.name, x.due.Sub(x.at), v, n.tracker.Silent(), n.tracker.Behind(), n.tracker.Relay(), n.call, n.age(m.now))
+			if n.up(m.now) && x.at.Sub(n.disturbed) >= undisturbedFor {
+				require.GreaterOrEqual(m.t, n.rev[configuration], v, "%s, %v after version %d: coordinator unresponsive %v, outdated %v, relay %q, call %v, age %v",
+					n.name, x.due.Sub(x.at), v, n.tracker.CoordinatorUnresponsive(), n.tracker.CoordinatorOutdated(), n.tracker.Relay(), n.call, n.age(m.now))
 			}
 		}
 	}
 }
 
-// play runs one random schedule.
-func (m *modelSite) play() {
-	change, loss := m.now.Add(calmBefore), mono.Never
+// run executes one random schedule.
+func (m *modelSite) run() {
+	changeAt, disturbAt := m.now.Add(undisturbedFor), mono.Never
 	for end := m.now.Add(modelSpan); m.now < end; m.step() {
-		if m.now >= loss {
-			loss = mono.Never
+		if m.now >= disturbAt {
+			disturbAt = mono.Never
 			m.disturb()
 		}
-		if m.now >= change {
-			m.rev[orders]++
+		if m.now >= changeAt {
+			m.rev[configuration]++
 			m.acknowledge()
-			change = m.now.Add(m.between(200*time.Millisecond, 2*time.Second))
-			if loss == mono.Never && m.rng.IntN(3) == 0 {
-				loss = m.now.Add(m.between(0, 400*time.Millisecond))
+			changeAt = m.now.Add(m.between(200*time.Millisecond, 2*time.Second))
+			if disturbAt == mono.Never && m.rng.IntN(3) == 0 {
+				disturbAt = m.now.Add(m.between(0, 400*time.Millisecond))
 			}
 		}
 	}
 }
 
-// acknowledge writes the next version down. A store that turns daemons away stretches the bound.
+// acknowledge records the next version. Its bound is extended while the store refuses daemons.
 func (m *modelSite) acknowledge() {
 	const maxStretch = 5 * time.Second
 	x := ackedVersion{at: m.now, due: m.now.Add(m.bound)}
-	if m.now < m.unstable {
+	if m.now < m.unstableUntil {
 		x.due = x.due.Add(maxStretch)
 	}
 	m.acked = append(m.acked, x)
 }
 
-// turnAway lets the store refuse the coordinator and a third of the daemons for a while.
-func (m *modelSite) turnAway(d time.Duration) {
-	m.unstable = m.now.Add(d + calmBefore)
+// refuseSome makes the store refuse the coordinator and a third of the daemons for the given time.
+func (m *modelSite) refuseSome(d time.Duration) {
+	m.unstableUntil = m.now.Add(d + undisturbedFor)
 	for _, n := range m.nodes {
 		if n == m.leader() || m.rng.IntN(3) == 0 {
-			n.refused = m.now.Add(d)
+			n.refusedUntil = m.now.Add(d)
 		}
 	}
-	for i := range m.acked { // what was written just before may be late as well
+	for i := range m.acked { // versions acknowledged just before may be late as well
 		if m.acked[i].due > m.now {
-			m.acked[i].due = max(m.acked[i].due, m.unstable.Add(m.bound))
+			m.acked[i].due = max(m.acked[i].due, m.unstableUntil.Add(m.bound))
 		}
 	}
 }
 
-// disturb loses or stops the coordinator or some daemons, a third at most.
+// disturb crashes or pauses the coordinator, some of the daemons (at most a third), or most voters.
 func (m *modelSite) disturb() {
-	long := m.between(500*time.Millisecond, 4*time.Second)
-	hit := []*modelNode{m.leader()}
+	duration := m.between(500*time.Millisecond, 4*time.Second)
+	affected := []*modelNode{m.leader()}
 	for range m.rng.IntN(len(m.nodes) / 3) {
-		hit = append(hit, m.nodes[m.rng.IntN(len(m.nodes))])
+		affected = append(affected, m.nodes[m.rng.IntN(len(m.nodes))])
 	}
 	if m.rng.IntN(4) == 0 {
-		for _, d := range m.voters { // with most of them gone, few relays are left
+		for _, d := range m.voters { // few relays are left without most voters
 			if m.rng.IntN(10) > 0 {
-				hit = append(hit, m.byName[d])
+				affected = append(affected, m.byName[d])
 			}
 		}
 	}
 	if m.rng.IntN(5) == 0 {
-		m.turnAway(long)
+		m.refuseSome(duration)
 	}
-	still := m.rng.IntN(2) == 0
-	for _, n := range hit[m.rng.IntN(2):] {
-		if still {
-			m.freeze(n, long)
+	paused := m.rng.IntN(2) == 0
+	for _, n := range affected[m.rng.IntN(2):] {
+		if paused {
+			m.pause(n, duration)
 		} else {
-			m.lose(n, long)
+			m.crash(n, duration)
 		}
 	}
 }
@@ -346,20 +346,20 @@
 	return a + time.Duration(m.rng.Int64N(int64(b-a)))
 }
 
-// Guards against changes that reach daemons in touch late while coordinators, relays and voters are lost.
-func TestChangesReachDaemonsInTouch(t *testing.T) {
+// Guards against configuration changes that reach connected daemons late while coordinators, relays and voters fail.
+func TestChangesReachConnectedDaemons(t *testing.T) {
 	for _, x := range []struct {
 		daemons int
 		bound   time.Duration
 	}{{12, 2 * time.Second}, {30, 2 * time.Second}, {72, 2500 * time.Millisecond}, {295, 2500 * time.Millisecond}} {
 		t.Run(fmt.Sprint(x.daemons), func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(runs(x.daemons)) {
-				newModelSite(t, rand.New(rand.NewPCG(seed, 28)), x.daemons, x.bound).play() //nolint:gosec // a schedule by its seed
+			for seed := range uint64(schedules(x.daemons)) {
+				newModelSite(t, rand.New(rand.NewPCG(seed, 28)), x.daemons, x.bound).run() //nolint:gosec // reproducible schedule
 			}
 		})
 	}
 }
 
-// runs is fewer schedules for larger sites, which take longer each.
-func runs(daemons int) int { return max(20, 6000/daemons) }
+// schedules returns how many schedules to run: fewer for larger sites, where each takes longer.
+func schedules(daemons int) int { return max(20, 6000/daemons) }
--- a/core/source/source.go
+++ b/core/source/source.go
@@ -1,5 +1,5 @@
-// Package source decides where a daemon's copy of the store comes from: the coordinator, a voter in its place, or the store
-// itself. All of them may be lost at once, so a daemon whose copy has grown old never waits for its peers alone.
+// Package source decides from where a daemon updates its copy of the store: the coordinator, a voter acting as relay, or the
+// store itself. All peers may fail at once, so a daemon with a stale copy never depends on its peers alone.
 package source
 
 import (
@@ -14,165 +14,165 @@
 )
 
 const (
-	// FeedWait is how long the store holds a feed back without news. While it does, nothing tells that the feed has not
-	// been cut silently, so the copy ages; each second of it costs a call a table.
-	FeedWait = 800 * time.Millisecond
+	// MaxPollWait is the longest time for which the store holds a long poll without changes. A silently lost connection
+	// can't be detected meanwhile, so the copy ages. The store receives one call for each table and wait.
+	MaxPollWait = 800 * time.Millisecond
 
-	// AnswerTime is how long an answer may take beyond the wait before another source is asked.
-	AnswerTime = 300 * time.Millisecond
+	// ResponseTimeout is how long an answer may take beyond the poll's wait before another source is asked.
+	ResponseTimeout = 300 * time.Millisecond
 
-	// OldCopy is the age of a copy from which its daemon doesn't seem to reach the store. The copy of a coordinator that
-	// does is as old as FeedWait and a slow store's answer.
-	OldCopy = FeedWait + 600*time.Millisecond
+	// OutdatedAge is the age of a copy from which its daemon is assumed not to reach the store. The copy of a coordinator
+	// that reaches it is at most as old as MaxPollWait plus the answer time of a slow store.
+	OutdatedAge = MaxPollWait + 600*time.Millisecond
 
-	// staleSlack is how much older than FeedWait and the wait for the coordinator's answer, the age that a copy reaches
-	// when all is well, it has to be for a daemon to ask the store itself.
-	staleSlack = 100 * time.Millisecond
+	// staleMargin is added to the age that a copy reaches in normal operation, MaxPollWait plus the wait for the
+	// coordinator's answer, to get the age from which a daemon polls the store itself.
+	staleMargin = 100 * time.Millisecond
 
-	// silentGap is between two calls for the control table of a voter that the coordinator doesn't answer. Such calls are
-	// answered at the next change, and when the whole site starts again there is one for each daemon.
-	silentGap = 100 * time.Millisecond
+	// voterPollGap is the least time between two polls of the control table by a voter whose coordinator is unresponsive.
+	// Such polls are answered at the next change, and after a restart of the whole site there is one for each daemon.
+	voterPollGap = 100 * time.Millisecond
 
-	// unreachedGap is the same for a daemon that no voter answers either. All of them are in this state together after a
-	// restart of the whole site.
-	unreachedGap = 500 * time.Millisecond
+	// isolatedPollGap is the least time between two polls of the control table by a daemon that no voter answers either.
+	// After a restart of the whole site all daemons are in this state at once.
+	isolatedPollGap = 500 * time.Millisecond
 
-	// heardWithin is how long ago a voter's last answer may be for a daemon to rely on it.
-	heardWithin = 1500 * time.Millisecond
+	// answerTTL is how long a daemon relies on the last answer of a voter.
+	answerTTL = 1500 * time.Millisecond
 
-	// outageVoters is how many voters must lack the store for a daemon to take it for out, and outageWait is how many
-	// times older than usual its copy gets then before it asks by itself: hundreds of daemons make it no better.
-	outageVoters = 3
-	outageWait   = 6
+	// outageVoters is how many voters must report an outdated copy for a daemon to assume a store outage. During an outage
+	// a daemon polls the store at outageAgeFactor times the usual age, because polls of hundreds of daemons add load.
+	outageVoters    = 3
+	outageAgeFactor = 6
 
-	// failedPause is between the starts of two calls that fail at once, doubled up to maxDoubled times.
-	failedPause = 50 * time.Millisecond
-	maxDoubled  = 4
+	// retryPause is the time between the starts of two calls that fail at once. It doubles up to maxDoublings times.
+	retryPause   = 50 * time.Millisecond
+	maxDoublings = 4
 
-	// othersEvery is which failed call in a row is followed by one to a daemon that is no voter.
-	othersEvery = 4
+	// anyDaemonEvery is how often, in a run of failed calls, a call goes to any daemon instead of a voter.
+	anyDaemonEvery = 4
 )
 
-// Call is a call to a peer for what is new.
+// Call is a long poll of a peer for changes.
 type Call struct {
-	Peer  ident.Daemon
-	Wait  time.Duration // for which the peer holds an answer without news back
-	Until mono.Time     // when it is given up
+	Peer     ident.Daemon
+	Wait     time.Duration // how long the peer may hold an answer without changes
+	Deadline mono.Time     // when the caller gives up
 }
 
-// Tracker is what one daemon has learned of its sources. Its methods take the daemon's present snapshot.
+// Tracker records which sources have given one daemon a useful copy. Its methods take the daemon's current snapshot.
 type Tracker struct {
 	self ident.Daemon
-	draw func(n int) int // a random number below n
-
-	silent  bool         // the coordinator didn't answer the last call
-	behind  bool         // the coordinator's copy was old when it last answered
-	relay   ident.Daemon // the voter whose copy was new when the coordinator gave none
-	failed  int          // calls in a row
-	probeAt mono.Time    // when a coordinator that is of no use is asked again
-	probes  int          // of the coordinator since it was of use
-	heard   mono.Time    // when the coordinator or a voter last answered
-
-	useless map[ident.Daemon]bool      // voters that gave nothing since one was of use
-	lacking map[ident.Daemon]mono.Time // voters with an old copy, and when they last said so
+	intN func(n int) int // a random number below n
+
+	unresponsive bool         // the coordinator did not answer the last call
+	outdated     bool         // the coordinator's copy was outdated in its last answer
+	relay        ident.Daemon // the voter that gave a useful copy in place of the coordinator; empty for none
+	failures     int          // consecutive calls without a useful copy
+	probeAt      mono.Time    // when a coordinator that gave no useful copy is called next
+	probes       int          // calls to probe the coordinator since its last useful copy
+	lastAnswer   mono.Time    // when the coordinator or a voter last answered; 0 for never
+
+	rejected   map[ident.Daemon]bool      // peers without a useful copy since the last one from the coordinator or a voter
+	outdatedAt map[ident.Daemon]mono.Time // when the coordinator or a voter last answered with an outdated copy
 }
 
-// New returns a tracker that knows nothing yet.
-func New(self ident.Daemon, draw func(n int) int) *Tracker {
-	return &Tracker{self: self, draw: draw, useless: map[ident.Daemon]bool{}, lacking: map[ident.Daemon]mono.Time{}}
+// New returns a tracker without any answers recorded. The function intN returns a random number below n.
+func New(self ident.Daemon, intN func(n int) int) *Tracker {
+	return &Tracker{self: self, intN: intN, rejected: map[ident.Daemon]bool{}, outdatedAt: map[ident.Daemon]mono.Time{}}
 }
 
-// Silent reports whether the coordinator didn't answer the last call.
-func (t *Tracker) Silent() bool { return t.silent }
+// CoordinatorUnresponsive reports whether the coordinator did not answer the last call.
+func (t *Tracker) CoordinatorUnresponsive() bool { return t.unresponsive }
 
-// Behind reports whether the coordinator's copy was old when it last answered: the store doesn't answer it.
-func (t *Tracker) Behind() bool { return t.behind }
+// CoordinatorOutdated reports whether the coordinator last answered with an outdated copy, as when it can't reach the store.
+func (t *Tracker) CoordinatorOutdated() bool { return t.outdated }
 
-// Relay returns the voter that the copy comes from in place of the coordinator; empty for none.
+// Relay returns the voter that the daemon polls in place of the coordinator, or "" for none.
 func (t *Tracker) Relay() ident.Daemon { return t.relay }
 
-// Next returns the next call to a peer; false when there is none to ask.
+// Next returns the next call to a peer, and false if there is no peer to call.
 func (t *Tracker) Next(now mono.Time, s *site.Snapshot) (Call, bool) {
 	wait := elect.SyncWait(s, t.self)
 	c := s.Coordinator.Daemon
 	if c == "" {
-		c = elect.First(s) // it reads the store, and becomes the coordinator
+		c = elect.First(s) // the first candidate polls the store and becomes the coordinator
 	}
 	if c != "" && c != t.self && s.Daemons[c] != nil {
-		if t.trusts(s, c) {
+		if t.usable(s, c) {
 			t.probeAt = now.Add(wait)
-			return call(now, c, wait), true
+			return newCall(now, c, wait), true
 		}
 		if !now.Before(t.probeAt) {
 			return t.probe(now, s, c), true
 		}
 	}
 	if t.relay != "" && s.Daemons[t.relay] != nil {
-		// A relay's answer isn't awaited beyond the next call to the coordinator; without one there is none to come.
+		// The call to a relay ends before the next probe of the coordinator. No probe is due if there is no coordinator.
 		if left := t.probeAt.Sub(now); left > 0 {
 			wait = min(wait, left)
 		}
-		return call(now, t.relay, wait), true
+		return newCall(now, t.relay, wait), true
 	}
-	d, ok := t.other(s)
-	return call(now, d, 0), ok
+	d, ok := t.pickPeer(s)
+	return newCall(now, d, 0), ok
 }
 
-// probe returns a call to a coordinator that was of no use: whether it is again is all that is asked. Each has twice the time
-// of the one before, up to that of a regular call: one that is lost costs little until another takes over, one that is only
-// slow is heard again. Voters give it all the time at once, as without them another would take over.
+// probe returns a call that checks whether a rejected coordinator is useful again. The timeout doubles with each probe, up to
+// that of a regular call: probes of a failed coordinator cost little until another takes over, and a slow one can still
+// answer. Voters use the full timeout at once, because without their calls another coordinator would take over.
 func (t *Tracker) probe(now mono.Time, s *site.Snapshot, c ident.Daemon) Call {
 	wait := elect.SyncWait(s, t.self)
-	limit := wait + AnswerTime
-	if !votes(s, t.self) {
-		limit = min(limit, AnswerTime<<min(t.probes, maxDoubled))
+	limit := wait + ResponseTimeout
+	if !isVoter(s, t.self) {
+		limit = min(limit, ResponseTimeout<<min(t.probes, maxDoublings))
 	}
 	t.probes++
 	t.probeAt = now.Add(wait)
-	return Call{Peer: c, Until: now.Add(limit)}
+	return Call{Peer: c, Deadline: now.Add(limit)}
 }
 
-// trusts reports whether the coordinator, or the candidate in its place, may be relied on for news.
-func (t *Tracker) trusts(s *site.Snapshot, c ident.Daemon) bool {
+// usable reports whether the coordinator, or the candidate in its place, is polled for changes.
+func (t *Tracker) usable(s *site.Snapshot, c ident.Daemon) bool {
 	if c != s.Coordinator.Daemon {
-		return !t.useless[c]
+		return !t.rejected[c]
 	}
-	return !t.silent && !t.behind
+	return !t.unresponsive && !t.outdated
 }
 
-func call(now mono.Time, d ident.Daemon, wait time.Duration) Call {
-	return Call{Peer: d, Wait: wait, Until: now.Add(wait + AnswerTime)}
+func newCall(now mono.Time, d ident.Daemon, wait time.Duration) Call {
+	return Call{Peer: d, Wait: wait, Deadline: now.Add(wait + ResponseTimeout)}
 }
 
-// other draws a voter that hasn't been of no use yet, or now and then any other daemon: no voter may be reached from here.
-func (t *Tracker) other(s *site.Snapshot) (ident.Daemon, bool) {
-	if t.failed%othersEvery != othersEvery-1 {
+// pickPeer selects a random voter that is not rejected, or periodically any daemon, as voters may all be unreachable.
+func (t *Tracker) pickPeer(s *site.Snapshot) (ident.Daemon, bool) {
+	if t.failures%anyDaemonEvery != anyDaemonEvery-1 {
 		l := t.peers(s, s.Voters)
-		fresh := slices.DeleteFunc(slices.Clone(l), func(d ident.Daemon) bool { return t.useless[d] })
+		fresh := slices.DeleteFunc(slices.Clone(l), func(d ident.Daemon) bool { return t.rejected[d] })
 		if len(fresh) == 0 {
-			clear(t.useless)
+			clear(t.rejected)
 			fresh = l
 		}
 		if len(fresh) > 0 {
-			return t.drawAble(s, fresh), true
+			return t.pickByCapacity(s, fresh), true
 		}
 	}
 	l := t.peers(s, slices.Sorted(maps.Keys(s.Daemons)))
 	if len(l) == 0 {
 		return "", false
 	}
-	return l[t.draw(len(l))], true
+	return l[t.intN(len(l))], true
 }
 
-// drawAble draws one of the daemons, by their capacity: when the coordinator is lost all daemons connect to voters at once,
-// and the small ones among them take longer for a handshake than a call may.
-func (t *Tracker) drawAble(s *site.Snapshot, l []ident.Daemon) ident.Daemon {
+// pickByCapacity selects a random daemon, weighted by capacity. All daemons connect to voters at once when the coordinator
+// fails, and small voters would then need longer for a handshake than the timeout of a call.
+func (t *Tracker) pickByCapacity(s *site.Snapshot, l []ident.Daemon) ident.Daemon {
 	capacity := func(d ident.Daemon) int { return max(1, s.Daemons[d].Capacity) }
 	sum := 0
 	for _, d := range l {
 		sum += capacity(d)
 	}
-	n := t.draw(sum)
+	n := t.intN(sum)
 	for _, d := range l {
 		if n -= capacity(d); n < 0 {
 			return d
@@ -181,134 +181,135 @@
 	return l[len(l)-1]
 }
 
-// peers returns those of the daemons that are known, neither this one nor the coordinator.
+// peers returns the daemons of the list that are in the snapshot, without this one and the coordinator.
 func (t *Tracker) peers(s *site.Snapshot, l []ident.Daemon) []ident.Daemon {
 	return slices.DeleteFunc(slices.Clone(l), func(d ident.Daemon) bool {
 		return d == t.self || d == s.Coordinator.Daemon || s.Daemons[d] == nil
 	})
 }
 
-// Pause returns how long after the start of a call that failed the next one starts.
+// Pause returns the time from the start of a failed call to the start of the next one.
 func (t *Tracker) Pause(s *site.Snapshot) time.Duration {
-	return min(failedPause<<min(max(0, t.failed-1), maxDoubled), elect.SyncWait(s, t.self)/2)
+	return min(retryPause<<min(max(0, t.failures-1), maxDoublings), elect.SyncWait(s, t.self)/2)
 }
 
-// Rested takes in that there is no peer to ask for now.
-func (t *Tracker) Rested() { t.failed = 0 }
+// NoPeers records that there is no peer to call. It resets the count of failures.
+func (t *Tracker) NoPeers() { t.failures = 0 }
 
-// Answered takes in that a peer answered with a copy of the age; it reports whether that is of use.
+// Answered records that a peer answered with a copy of the given age. It reports whether the copy is useful, that is, not
+// outdated.
 func (t *Tracker) Answered(now mono.Time, s *site.Snapshot, d ident.Daemon, age time.Duration) bool {
-	useful := age < OldCopy
-	leads, votes := d == s.Coordinator.Daemon, votes(s, d)
+	useful := age < OutdatedAge
+	leads, votes := d == s.Coordinator.Daemon, isVoter(s, d)
 	if leads || votes {
-		t.heard = now
-		delete(t.lacking, d)
+		t.lastAnswer = now
+		delete(t.outdatedAt, d)
 		if !useful {
-			t.lacking[d] = now
+			t.outdatedAt[d] = now
 		}
 	}
 	if leads {
-		t.silent, t.behind = false, !useful
+		t.unresponsive, t.outdated = false, !useful
 	}
 	if !useful {
-		t.drop(d)
+		t.reject(d)
 		return false
 	}
-	t.failed = 0
+	t.failures = 0
 	switch {
 	case leads:
 		t.relay, t.probes = "", 0
-		clear(t.useless)
+		clear(t.rejected)
 	case votes:
-		t.relay = d // others don't renew their copies either
-		clear(t.useless)
+		t.relay = d // daemons that are not voters don't keep their copies fresh
+		clear(t.rejected)
 	}
 	return true
 }
 
-// Failed takes in that a call got no answer.
+// Failed records that a call got no answer.
 func (t *Tracker) Failed(now mono.Time, s *site.Snapshot, x Call) {
 	if x.Peer == s.Coordinator.Daemon {
-		t.silent = true
-		if now.Before(x.Until) {
-			t.probeAt = min(t.probeAt, now.Add(elect.SyncWait(s, t.self)/2)) // it failed at once, and cost no time
+		t.unresponsive = true
+		if now.Before(x.Deadline) {
+			t.probeAt = min(t.probeAt, now.Add(elect.SyncWait(s, t.self)/2)) // a call that fails before its deadline costs little time
 		} else {
-			t.probeAt = max(t.probeAt, now.Add(AnswerTime)) // others are asked in between
+			t.probeAt = max(t.probeAt, now.Add(ResponseTimeout)) // leaves time for calls to other peers
 		}
 	}
-	t.drop(x.Peer)
+	t.reject(x.Peer)
 }
 
-// Unusable takes in that what a peer answered couldn't be used.
-func (t *Tracker) Unusable(d ident.Daemon) { t.drop(d) }
+// Unusable records that the answer of a peer could not be applied.
+func (t *Tracker) Unusable(d ident.Daemon) { t.reject(d) }
 
-func (t *Tracker) drop(d ident.Daemon) {
-	t.failed++
-	t.useless[d] = true
+func (t *Tracker) reject(d ident.Daemon) {
+	t.failures++
+	t.rejected[d] = true
 	if t.relay == d {
 		t.relay = ""
 	}
 }
 
-// NewCoordinator takes in that there is another coordinator, or none: it is asked at once.
-func (t *Tracker) NewCoordinator() {
-	t.relay, t.behind, t.probes, t.probeAt = "", false, 0, 0
+// CoordinatorChanged records that there is another coordinator, or none. A new one is called at once.
+func (t *Tracker) CoordinatorChanged() {
+	t.relay, t.outdated, t.probes, t.probeAt = "", false, 0, 0
 }
 
-// Stale returns the age of a copy from which the daemon asks the store itself.
-func Stale(s *site.Snapshot, d ident.Daemon) time.Duration {
-	return FeedWait + elect.SyncWait(s, d) + staleSlack
+// StaleAge returns the age of a copy from which the daemon polls the store itself.
+func StaleAge(s *site.Snapshot, d ident.Daemon) time.Duration {
+	return MaxPollWait + elect.SyncWait(s, d) + staleMargin
 }
 
-// Copy is how new the copy of a table is.
+// Copy describes the age of a daemon's copy of a table.
 type Copy struct {
-	AsOf    mono.Time // when it was the newest for certain
-	Asked   mono.Time // when the store was last asked for it
-	Control bool      // it is the control table, which tells of coordinators
+	AsOf        mono.Time // the last time at which the copy was known to be current
+	RequestedAt mono.Time // when the daemon last polled the store for it
+	Control     bool      // whether it is the control table, which names the coordinator
 }
 
-// StoreAt returns when to ask the store for the table. It has to be asked for again at each change, and at the time itself,
-// by when the answer may be a later one.
-func (t *Tracker) StoreAt(now mono.Time, s *site.Snapshot, c Copy) mono.Time {
-	stale := Stale(s, t.self)
-	if votes(s, t.self) {
-		if few(s) && (t.silent || t.behind) {
-			return now // the others take their copies from the voters now
+// StorePollAt returns when to poll the store for the table. Callers call it again after each change and at the returned time,
+// because the result may be later by then.
+func (t *Tracker) StorePollAt(now mono.Time, s *site.Snapshot, c Copy) mono.Time {
+	stale := StaleAge(s, t.self)
+	if isVoter(s, t.self) {
+		if hasNonVoters(s) && (t.unresponsive || t.outdated) {
+			return now // the other daemons use voters as relays meanwhile
 		}
-		return t.sooner(c, c.AsOf.Add(stale), c.Asked.Add(silentGap))
+		return t.earlierForControl(c, c.AsOf.Add(stale), c.RequestedAt.Add(voterPollGap))
 	}
-	// A daemon whose peers lack the store is told so before its own copy is that old.
-	at := c.AsOf.Add(max(stale, OldCopy+AnswerTime))
+	// A daemon learns from its peers that they can't reach the store before its own copy is that old.
+	at := c.AsOf.Add(max(stale, OutdatedAge+ResponseTimeout))
 	if out, until := t.outage(now, s); out {
-		return min(max(c.AsOf, c.Asked).Add(outageWait*stale), until)
+		return min(max(c.AsOf, c.RequestedAt).Add(outageAgeFactor*stale), until)
 	}
-	return t.sooner(c, at, max(c.Asked.Add(unreachedGap), t.heard.Add(heardWithin)))
+	return t.earlierForControl(c, at, max(c.RequestedAt.Add(isolatedPollGap), t.lastAnswer.Add(answerTTL)))
 }
 
-// sooner returns an earlier time for the control table while nobody tells of the coordinator. It has started again under
-// another key, or is gone: who follows it stands in the store before anybody else tells. Found out once the copy is stale,
-// a second later, all keys would be refused here meanwhile.
-func (t *Tracker) sooner(c Copy, at, sooner mono.Time) mono.Time {
-	if t.silent && c.Control {
+// earlierForControl returns the earlier time for the control table while the coordinator is unresponsive. The coordinator has
+// failed or has restarted with another key, and the store names its successor before any peer does. Waiting until the copy is
+// stale would take a second longer, during which this daemon refuses all keys.
+func (t *Tracker) earlierForControl(c Copy, at, sooner mono.Time) mono.Time {
+	if t.unresponsive && c.Control {
 		return min(at, sooner)
 	}
 	return at
 }
 
-// Hold returns how long the store may hold an answer without news for a copy of the age back: no longer than until peers
-// would take the copy for old, though the store answers.
-func Hold(age time.Duration) time.Duration {
-	return min(FeedWait, max(0, OldCopy-AnswerTime-age))
+// PollWait returns how long the store may hold an answer without changes, given the age of the copy. The poll ends before
+// peers would reject the copy as outdated although the store is reachable.
+func PollWait(age time.Duration) time.Duration {
+	return min(MaxPollWait, max(0, OutdatedAge-ResponseTimeout-age))
 }
 
-// outage reports whether the store seems to be out for all, and until when that may be relied on.
+// outage reports whether enough voters have outdated copies to assume a store outage, and until when their answers are valid.
 func (t *Tracker) outage(now mono.Time, s *site.Snapshot) (bool, mono.Time) {
 	var l []mono.Time
-	for d, said := range t.lacking {
-		if until := said.Add(heardWithin); now.Before(until) {
+	for d, at := range t.outdatedAt {
+		if until := at.Add(answerTTL); now.Before(until) {
 			l = append(l, until)
 		} else {
-			delete(t.lacking, d)
+			delete(t.outdatedAt, d)
 		}
 	}
 	enough := max(1, min(outageVoters, len(t.peers(s, s.Voters))))
@@ -319,12 +320,12 @@
 	return true, l[len(l)-enough]
 }
 
-// votes reports whether the daemon is one of the voters, as all are where the coordinator's row names none.
-func votes(s *site.Snapshot, d ident.Daemon) bool {
+// isVoter reports whether the daemon is a voter. All daemons are voters if the coordinator's row names none.
+func isVoter(s *site.Snapshot, d ident.Daemon) bool {
 	return len(s.Voters) == 0 || slices.Contains(s.Voters, d)
 }
 
-// few reports whether some daemons aren't voters.
-func few(s *site.Snapshot) bool {
+// hasNonVoters reports whether some daemons are not voters.
+func hasNonVoters(s *site.Snapshot) bool {
 	return len(s.Voters) > 0 && len(s.Voters) < len(s.Daemons)
 }
--- a/core/source/source_test.go
+++ b/core/source/source_test.go
@@ -23,52 +23,54 @@
 	return s
 }
 
-// loseCoordinator returns a tracker whose coordinator has just fallen silent, and the time.
+// loseCoordinator returns a tracker whose coordinator has just failed to answer a call, and the time.
 func loseCoordinator(t *testing.T, s *site.Snapshot, seed uint64) (*Tracker, mono.Time) {
 	t.Helper()
-	x := New("self", rand.New(rand.NewPCG(seed, 1)).IntN) //nolint:gosec // a draw by its seed
+	x := New("self", rand.New(rand.NewPCG(seed, 1)).IntN) //nolint:gosec // reproducible choices
 	c, ok := x.Next(mono.Time(1), s)
 	require.True(t, ok)
 	require.Equal(t, ident.Daemon("lead"), c.Peer)
-	x.Failed(c.Until, s, c)
-	return x, c.Until
+	x.Failed(c.Deadline, s, c)
+	return x, c.Deadline
 }
 
-// Guards against handshakes of a whole site with the smallest of its voters.
-func TestAbleVotersAreAskedMore(t *testing.T) {
-	s := newSite("small1", "small2", "small3", "able")
-	s.Daemons["able"].Capacity = 1600
+// Guards against a whole site whose handshakes go to its smallest voters when the coordinator fails.
+func TestVotersAreChosenByCapacity(t *testing.T) {
+	s := newSite("small1", "small2", "small3", "large")
+	s.Daemons["large"].Capacity = 1600
 	n := 0
 	for seed := range uint64(400) {
 		x, now := loseCoordinator(t, s, seed)
 		x.probeAt = now.Add(1)
-		if c, ok := x.Next(now, s); ok && c.Peer == "able" {
+		if c, ok := x.Next(now, s); ok && c.Peer == "large" {
 			n++
 		}
 	}
 	require.Greater(t, n, 250)
-	require.Less(t, n, 390, "the others share the rest")
+	require.Less(t, n, 390, "the small voters are selected too")
 }
 
-// Guards against daemons that ask the store in hundreds while it is out, and against one that relies on that for too long.
-func TestStoreIsOutOnlyWhileVotersSaySo(t *testing.T) {
+// Guards against hundreds of daemons that poll the store during an outage, and against a daemon that assumes an outage after
+// the voters' answers have expired.
+func TestOutageNeedsRecentAnswersOfVoters(t *testing.T) {
 	s := newSite("v1", "v2", "v3", "v4")
 	x, now := loseCoordinator(t, s, 0)
-	c := Copy{AsOf: now.Add(-OldCopy)}
-	own := x.StoreAt(now, s, c)
-	require.False(t, x.Answered(now, s, "other", OldCopy), "reads the store no more than this daemon")
-	require.False(t, x.Answered(now, s, "v1", OldCopy))
-	require.False(t, x.Answered(now, s, "v2", OldCopy))
-	require.Equal(t, own, x.StoreAt(now, s, c))
-	require.False(t, x.Answered(now, s, "v3", OldCopy))
-	require.Greater(t, x.StoreAt(now, s, c), own)
-	require.LessOrEqual(t, x.StoreAt(now, s, c), now.Add(heardWithin), "looked at again when their word is old")
+	c := Copy{AsOf: now.Add(-OutdatedAge)}
+	own := x.StorePollAt(now, s, c)
+	require.False(t, x.Answered(now, s, "other", OutdatedAge), "a daemon that is no voter does not count towards an outage")
+	require.False(t, x.Answered(now, s, "v1", OutdatedAge))
+	require.False(t, x.Answered(now, s, "v2", OutdatedAge))
+	require.Equal(t, own, x.StorePollAt(now, s, c))
+	require.False(t, x.Answered(now, s, "v3", OutdatedAge))
+	require.Greater(t, x.StorePollAt(now, s, c), own)
+	require.LessOrEqual(t, x.StorePollAt(now, s, c), now.Add(answerTTL), "the outage is no longer assumed when the voters' answers expire")
 	require.True(t, x.Answered(now, s, "v3", 0))
-	require.Equal(t, own, x.StoreAt(now, s, c))
+	require.Equal(t, own, x.StorePollAt(now, s, c))
 }
 
-// Guards against voters that give a slow coordinator up, so that another takes over, and against daemons that ask nobody else.
-func TestSlowCoordinatorKeepsItsVoters(t *testing.T) {
+// Guards against voters that stop polling a slow coordinator, so that another takes over, and against daemons that poll only
+// the slow coordinator.
+func TestVotersKeepPollingSlowCoordinator(t *testing.T) {
 	s := newSite("self", "v1", "v2")
 	x, now := loseCoordinator(t, s, 0)
 	others := 0
@@ -76,32 +78,32 @@
 		c, ok := x.Next(now, s)
 		require.True(t, ok)
 		if c.Peer == "lead" {
-			require.GreaterOrEqual(t, c.Until.Sub(now), elect.SyncWait(s, "self")+AnswerTime)
+			require.GreaterOrEqual(t, c.Deadline.Sub(now), elect.SyncWait(s, "self")+ResponseTimeout)
 		} else {
 			others++
 		}
-		now = c.Until
+		now = c.Deadline
 		x.Failed(now, s, c)
 	}
 	require.GreaterOrEqual(t, others, 4)
 	require.LessOrEqual(t, others, 7)
 }
 
-// Guards against daemons that never hear a coordinator again which has become slow.
-func TestSlowCoordinatorIsHeardAgain(t *testing.T) {
+// Guards against daemons whose probes of a slow coordinator always time out, so that they never use it again.
+func TestSlowCoordinatorIsUsedAgain(t *testing.T) {
 	s := newSite("v1", "v2")
 	x, now := loseCoordinator(t, s, 0)
-	full := elect.SyncWait(s, "self") + AnswerTime
+	full := elect.SyncWait(s, "self") + ResponseTimeout
 	var limits []time.Duration
 	for range 20 {
 		c, ok := x.Next(now, s)
 		require.True(t, ok)
 		if c.Peer == "lead" {
-			limits = append(limits, c.Until.Sub(now))
+			limits = append(limits, c.Deadline.Sub(now))
 		}
-		now = c.Until
+		now = c.Deadline
 		x.Failed(now, s, c)
 	}
-	require.Equal(t, AnswerTime, limits[0])
+	require.Equal(t, ResponseTimeout, limits[0])
 	require.Contains(t, limits[:4], full)
 }
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -16,7 +16,7 @@
 
 const (
 	// feedWait is how long the store holds a feed back without news.
-	feedWait = source.FeedWait
+	feedWait = source.MaxPollWait
 
 	// controlWait is the same for the control table, which changes next to never but by its reader's own hand.
 	controlWait = 5 * time.Second
@@ -74,8 +74,8 @@
 	if !f.read[t] {
 		return f.firstReadIn(now)
 	}
-	c := source.Copy{AsOf: f.asOf[t], Asked: f.asked[t], Control: t == store.Control}
-	return f.sources.StoreAt(now, f.snapshot, c).Sub(now)
+	c := source.Copy{AsOf: f.asOf[t], RequestedAt: f.asked[t], Control: t == store.Control}
+	return f.sources.StorePollAt(now, f.snapshot, c).Sub(now)
 }
 
 // askAtStart returns how long the store needn't be asked by a daemon of a site that has had no coordinator yet. Each reads
@@ -99,10 +99,10 @@
 // firstReadIn returns how long a table that was never read needn't be; the caller holds the lock. At the first start of a
 // site the coordinator has read all tables by the time that it is known: hundreds of daemons get them from it.
 func (f *Feed) firstReadIn(now mono.Time) time.Duration {
-	if !f.firstStart || f.sources.Silent() {
+	if !f.firstStart || f.sources.CoordinatorUnresponsive() {
 		return 0
 	}
-	return min(f.heard.Add(source.AnswerTime), f.started.Add(startLimit)).Sub(now)
+	return min(f.heard.Add(source.ResponseTimeout), f.started.Add(startLimit)).Sub(now)
 }
 
 // askedTwice reports whether the control table was read when most daemons had written their rows; the caller holds the lock.
@@ -180,7 +180,7 @@
 
 // staleAfter returns the age of the copy from which a daemon asks the store itself; the caller holds the lock.
 func (f *Feed) staleAfter() time.Duration {
-	return source.Stale(f.snapshot, f.o.Self)
+	return source.StaleAge(f.snapshot, f.o.Self)
 }
 
 // holdTime returns how long the store may hold an answer for the table back.
@@ -189,8 +189,8 @@
 	defer f.mu.Unlock()
 	switch {
 	case t != store.Control:
-		return source.Hold(f.age(t))
-	case f.snapshot.Coordinator.Term == 0 || f.age(t) >= source.OldCopy:
+		return source.PollWait(f.age(t))
+	case f.snapshot.Coordinator.Term == 0 || f.age(t) >= source.OutdatedAge:
 		return 0 // the answer tells at once whether the copy is the newest
 	default:
 		return controlWait
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -428,7 +428,7 @@
 	if c := f.snapshot.Coordinator; c.Term != was.Term || c.Daemon != was.Daemon || c.Incarnation != was.Incarnation {
 		f.heard = f.o.Clock.Now()
 		f.support.Reset()
-		f.sources.NewCoordinator()
+		f.sources.CoordinatorChanged()
 	}
 	f.wake()
 	return true
--- a/io/feed/fleet_test.go
+++ b/io/feed/fleet_test.go
@@ -207,7 +207,7 @@
 	require.Empty(t, f.sources.Relay())
 	f.noteAnswer(f.o.Clock.Now(), "d2", 0)
 	require.Equal(t, ident.Daemon("d2"), f.sources.Relay())
-	f.noteAnswer(f.o.Clock.Now(), "d2", source.OldCopy)
+	f.noteAnswer(f.o.Clock.Now(), "d2", source.OutdatedAge)
 	require.Empty(t, f.sources.Relay())
 }
 
--- a/io/feed/sync.go
+++ b/io/feed/sync.go
@@ -39,12 +39,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leads() || !f.read[store.Control] || f.snapshot.Coordinator.Term == 0 && !f.askedTwice() {
-		f.sources.Rested()
+		f.sources.NoPeers()
 		return source.Call{}, false
 	}
 	x, ok := f.sources.Next(f.o.Clock.Now(), f.snapshot)
 	if !ok {
-		f.sources.Rested()
+		f.sources.NoPeers()
 	}
 	return x, ok
 }
@@ -103,7 +103,7 @@
 	if done || to == "" || to == f.o.Self {
 		return done
 	}
-	y, cancel := context.WithTimeout(c, source.AnswerTime)
+	y, cancel := context.WithTimeout(c, source.ResponseTimeout)
 	defer cancel()
 	r, err := f.peers.Call(y, to, &wire.Call{Body: &wire.Call_Sync{Sync: x}})
 	f.mu.Lock()
@@ -133,7 +133,7 @@
 			x.Quota = f.o.Quota.Ask()
 		}
 	}
-	y, cancel := context.WithTimeout(c, k.Until.Sub(asked))
+	y, cancel := context.WithTimeout(c, k.Deadline.Sub(asked))
 	defer cancel()
 	r, err := f.peers.Call(y, k.Peer, &wire.Call{Body: &wire.Call_Sync{Sync: x}})
 	if x.GetQuota() != nil {
@@ -153,10 +153,10 @@
 func (f *Feed) notAnswered(k source.Call, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	silent := f.sources.Silent()
+	silent := f.sources.CoordinatorUnresponsive()
 	f.sources.Failed(f.o.Clock.Now(), f.snapshot, k)
 	switch {
-	case !silent && f.sources.Silent():
+	case !silent && f.sources.CoordinatorUnresponsive():
 		f.o.Log.Info().Err(err).Str("peer", string(k.Peer)).Dur("copy-age", f.age(store.Orders)).Msg("coordinator doesn't answer")
 		f.wake()
 	case k.Peer != f.snapshot.Coordinator.Daemon:
@@ -206,12 +206,12 @@
 
 // noteAnswer takes in that a peer answered with a copy of the age, and reports whether it is of use; the caller holds the lock.
 func (f *Feed) noteAnswer(now mono.Time, from ident.Daemon, age time.Duration) bool {
-	silent, behind, relay := f.sources.Silent(), f.sources.Behind(), f.sources.Relay()
+	silent, behind, relay := f.sources.CoordinatorUnresponsive(), f.sources.CoordinatorOutdated(), f.sources.Relay()
 	useful := f.sources.Answered(now, f.snapshot, from, age)
-	if behind != f.sources.Behind() {
+	if behind != f.sources.CoordinatorOutdated() {
 		f.wake()
 	}
-	if silent && !f.sources.Silent() {
+	if silent && !f.sources.CoordinatorUnresponsive() {
 		f.o.Log.Info().Str("peer", string(from)).Dur("peer-copy-age", age).Msg("coordinator answers again")
 	}
 	if r := f.sources.Relay(); r != relay && r != "" {
@@ -258,7 +258,7 @@
 	for {
 		r, changed := f.reply(x)
 		// A peer is told in time that this copy isn't renewed any more, and asks another.
-		left := min(until.Sub(f.o.Clock.Now()), source.OldCopy-duration(r.GetStoreAgeUs()))
+		left := min(until.Sub(f.o.Clock.Now()), source.OutdatedAge-duration(r.GetStoreAgeUs()))
 		if len(r.GetTables()) > 0 || r.GetHolds() != nil || left <= 0 {
 			return r
 		}
