--- a/core/crash/crash.go
+++ b/core/crash/crash.go
@@ -1,9 +1,9 @@
-// Package crash tells which requests crash the backend servers that run them, from what all daemons have seen.
+// Package crash identifies requests that crash backend servers, from the crashes that all daemons have observed.
 //
-// A server's crash looks the same to all requests that ran there. A request to blame meets one crash after the other and is
-// never answered in between; the others are answered the next time. Servers that are lost together, as with their failure
-// domain, count as one: a crash counts only for a run that began when the crash before was known to its daemon. Otherwise a
-// request that many callers send would have run on all of them, and be refused for it.
+// A crash of a server makes every request that ran there a suspect. The request that causes it meets consecutive crashes
+// without an answer in between, while the others are answered by their next run. Servers that fail together, as with their
+// failure domain, count as one crash: a crash counts only for a run that began when its daemon knew of the previous crash.
+// Otherwise a request that many callers send would be refused, because it had run on all of these servers.
 package crash
 
 import (
@@ -14,92 +14,92 @@
 	"heatherrouter/core/mono"
 )
 
-// Fingerprint names requests of the same organisation and content.
+// Fingerprint identifies requests with the same organisation and content.
 type Fingerprint [16]byte
 
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of String. It returns false if s is not a fingerprint in hexadecimal.
 func ParseFingerprint(s string) (Fingerprint, bool) {
 	var f Fingerprint
 	n, err := hex.Decode(f[:], []byte(s))
 	return f, err == nil && n == len(f) && len(s) == 2*len(f)
 }
 
-// Life names one life of a backend server.
-type Life uint64
+// ServerIncarnation identifies one backend server between two restarts.
+type ServerIncarnation uint64
 
-// RefusedFrom is after how many crashes, one after the other, a request is kept from servers.
-const RefusedFrom = 3
+// RefusalThreshold is the number of consecutive crashes from which a request is no longer sent to servers.
+const RefusalThreshold = 3
 
-// Records tell how many servers crashed under each request, one after the other, as all daemons know of them.
+// Records holds the number of consecutive server crashes for each request, as shared by all daemons.
 type Records map[Fingerprint]int
 
 const (
-	// maxBlamed bounds the requests that are blamed for one crash by one daemon, the last sent first.
-	maxBlamed = 16
+	// maxSuspects bounds the runs that one daemon counts for one crash. The runs interrupted last are kept.
+	maxSuspects = 16
 
-	// maxBroken bounds the servers whose runs broke off and of which it isn't known yet whether they crashed.
-	maxBroken = 64
+	// maxInterrupted bounds the servers with interrupted runs for which it is not known yet whether they crashed.
+	maxInterrupted = 64
 
-	// maxOwn bounds the fingerprints that one daemon has seen at crashes and that aren't in the records yet.
-	maxOwn = 256
+	// maxPending bounds the fingerprints for which one daemon has observations that are not in the records yet.
+	maxPending = 256
 
-	// MaxRecords bounds the fingerprints in the records. Beyond, only those that are there count on.
+	// MaxRecords bounds the fingerprints in the records. At this number existing records are still updated, but none is added.
 	MaxRecords = 512
 
-	// ownFor is how long a daemon keeps what it couldn't add to the records.
-	ownFor = 2 * time.Minute
+	// pendingTTL is how long a daemon keeps an observation that it could not write to the records.
+	pendingTTL = 2 * time.Minute
 
-	// brokenFor is how long a run that broke off waits for news of its server.
-	brokenFor = 5 * time.Second
+	// interruptedTTL is how long interrupted runs are kept without knowing whether their server crashed.
+	interruptedTTL = 5 * time.Second
 )
 
 // Ages after which a record without another crash is dropped.
 const (
-	singleFor   = 2 * time.Minute // of one crash, which most requests under way at it have nothing to do with
-	repeatedFor = 15 * time.Minute
+	singleCrashTTL   = 2 * time.Minute // most requests in progress at a single crash did not cause it
+	repeatedCrashTTL = 15 * time.Minute
 )
 
-// KeepFor returns how long a record of so many crashes is kept after the last of them.
-func KeepFor(crashes int) time.Duration {
+// RecordTTL returns how long a record with the given number of crashes is kept after the last of them.
+func RecordTTL(crashes int) time.Duration {
 	if crashes > 1 {
-		return repeatedFor
+		return repeatedCrashTTL
 	}
-	return singleFor
+	return singleCrashTTL
 }
 
-// Run is one run of a request.
+// Run is one execution of a request by a backend server.
 type Run struct {
-	Fingerprint Fingerprint
-	Known       int // crashes under the request that its daemon knew of when the run began
+	Fingerprint  Fingerprint
+	KnownCrashes int // crashes for the request that its daemon knew of when the run began
 }
 
-// Tracker is what one daemon has seen that isn't in the records yet.
+// Tracker holds what one daemon has observed and not yet written to the records.
 type Tracker struct {
-	broken map[Life]*broken
-	own    map[Fingerprint]own
+	interrupted map[ServerIncarnation]*interruptedRuns
+	pending     map[Fingerprint]pendingRecord
 }
 
-// broken is runs at one life of a server that broke off.
-type broken struct {
-	at   mono.Time // of the last
+// interruptedRuns holds the interrupted runs of one server incarnation.
+type interruptedRuns struct {
+	at   mono.Time // when the last run was interrupted
 	runs []Run
 }
 
-// own is what this daemon wants one record to say.
-type own struct {
+// pendingRecord is the change that this daemon is to make to one record.
+type pendingRecord struct {
 	crashes  int
-	answered bool // the request was: only the crashes since count
-	base     int  // crashes in the record when the last one was counted
+	answered bool // whether the request was answered: only crashes since then count
+	base     int  // crashes in the record when this daemon counted its last one
 	at       mono.Time
 }
 
-// with returns what the record is to say, given what it says now.
-func (o own) with(record int) int {
+// apply returns the number of crashes that the record is to hold, given its current number.
+func (o pendingRecord) apply(record int) int {
 	switch {
-	case o.answered && record < RefusedFrom:
+	case o.answered && record < RefusalThreshold:
 		return o.crashes
 	case record < o.base:
 		return record // the request was answered elsewhere
@@ -107,104 +107,104 @@
 	return max(record, o.crashes)
 }
 
-// NewTracker returns a tracker that has seen nothing.
+// NewTracker returns a tracker without observations.
 func NewTracker() *Tracker {
-	return &Tracker{broken: map[Life]*broken{}, own: map[Fingerprint]own{}}
+	return &Tracker{interrupted: map[ServerIncarnation]*interruptedRuns{}, pending: map[Fingerprint]pendingRecord{}}
 }
 
-// Broke takes in that a run at a server broke off. It reports whether the server is to be probed: it isn't where it is being
-// probed for another run.
-func (t *Tracker) Broke(now mono.Time, l Life, r Run) bool {
-	b := t.broken[l]
+// Interrupted records that a run on a server was interrupted. It reports whether the caller must probe the server: false if
+// a probe for another run is in progress, or if too many servers have interrupted runs.
+func (t *Tracker) Interrupted(now mono.Time, l ServerIncarnation, r Run) bool {
+	b := t.interrupted[l]
 	if b != nil {
 		b.at, b.runs = now, append(b.runs, r)
-		b.runs = b.runs[max(0, len(b.runs)-maxBlamed):]
+		b.runs = b.runs[max(0, len(b.runs)-maxSuspects):]
 		return false
 	}
-	if len(t.broken) >= maxBroken {
+	if len(t.interrupted) >= maxInterrupted {
 		return false
 	}
-	t.broken[l] = &broken{at: now, runs: []Run{r}}
+	t.interrupted[l] = &interruptedRuns{at: now, runs: []Run{r}}
 	return true
 }
 
-// Lives takes in that a server whose runs broke off takes connections: it hasn't crashed.
-func (t *Tracker) Lives(l Life) { delete(t.broken, l) }
+// ServerAlive records that a server accepts connections, so that it has not crashed. Its interrupted runs are dropped.
+func (t *Tracker) ServerAlive(l ServerIncarnation) { delete(t.interrupted, l) }
 
-// Crashed takes in that a server is down, and returns the requests that ran there.
-func (t *Tracker) Crashed(now mono.Time, r Records, l Life) []Fingerprint {
-	b := t.broken[l]
+// ServerCrashed records that a server has crashed, and returns the requests whose runs there were interrupted.
+func (t *Tracker) ServerCrashed(now mono.Time, r Records, l ServerIncarnation) []Fingerprint {
+	b := t.interrupted[l]
 	if b == nil {
 		return nil
 	}
-	delete(t.broken, l)
-	var blamed []Fingerprint
+	delete(t.interrupted, l)
+	var suspects []Fingerprint
 	for _, x := range b.runs {
-		t.count(now, r, x)
-		if !slices.Contains(blamed, x.Fingerprint) {
-			blamed = append(blamed, x.Fingerprint)
+		t.countCrash(now, r, x)
+		if !slices.Contains(suspects, x.Fingerprint) {
+			suspects = append(suspects, x.Fingerprint)
 		}
 	}
-	return blamed
+	return suspects
 }
 
-// count counts the crash of a server for a run there.
-func (t *Tracker) count(now mono.Time, r Records, x Run) {
+// countCrash counts the crash of a server for one run there.
+func (t *Tracker) countCrash(now mono.Time, r Records, x Run) {
 	f := x.Fingerprint
-	n, o := t.Crashes(r, f), t.own[f]
-	if x.Known < n {
-		return // the run began before the last one counted was known
+	n, o := t.Crashes(r, f), t.pending[f]
+	if x.KnownCrashes < n {
+		return // the run began before its daemon knew of the last counted crash
 	}
-	t.set(f, own{crashes: n + 1, answered: o.answered, base: r[f], at: now})
+	t.setPending(f, pendingRecord{crashes: n + 1, answered: o.answered, base: r[f], at: now})
 }
 
-// set keeps what the record of a request is to say, unless too many are kept.
-func (t *Tracker) set(f Fingerprint, o own) {
-	if _, known := t.own[f]; known || len(t.own) < maxOwn {
-		t.own[f] = o
+// setPending stores the change of a record, unless it is a new one beyond maxPending.
+func (t *Tracker) setPending(f Fingerprint, o pendingRecord) {
+	if _, known := t.pending[f]; known || len(t.pending) < maxPending {
+		t.pending[f] = o
 	}
 }
 
-// Empty reports whether nothing is kept of any request.
-func (t *Tracker) Empty() bool { return len(t.own)+len(t.broken) == 0 }
+// Empty reports whether the tracker holds no observations.
+func (t *Tracker) Empty() bool { return len(t.pending)+len(t.interrupted) == 0 }
 
-// Crashes returns how many servers crashed under the request, one after the other.
+// Crashes returns the number of consecutive server crashes for the request.
 func (t *Tracker) Crashes(r Records, f Fingerprint) int {
-	if o, ok := t.own[f]; ok {
-		return o.with(r[f])
+	if o, ok := t.pending[f]; ok {
+		return o.apply(r[f])
 	}
 	return r[f]
 }
 
-// Answered takes in that a server ran the request to an end; it reports whether there is a record to drop. A request that is
-// refused by now stays so: an attempt that was sent before may have met a server that was just about to crash.
+// Answered records that a server answered the request, and reports whether a record is to be dropped. A request that is
+// already refused stays refused: an attempt sent before may have been answered by a server just before its crash.
 func (t *Tracker) Answered(now mono.Time, r Records, f Fingerprint) bool {
-	if n := t.Crashes(r, f); n == 0 || n >= RefusedFrom {
+	if n := t.Crashes(r, f); n == 0 || n >= RefusalThreshold {
 		return false
 	}
 	if r[f] == 0 {
-		delete(t.own, f)
+		delete(t.pending, f)
 		return false
 	}
-	t.set(f, own{answered: true, at: now})
+	t.setPending(f, pendingRecord{answered: true, at: now})
 	return true
 }
 
-// Change is what a daemon wants changed of one record: the crashes that it is to say, or none to drop it.
+// Change is an update of one record to the given number of crashes, or its removal if that is 0.
 type Change struct {
 	Fingerprint Fingerprint
 	Crashes     int
 }
 
-// Changes returns by what the records differ from what this daemon has seen, so many at most, and forgets what is in them.
-// It is asked again until nothing is left: whether a change was made, the records tell.
-func (t *Tracker) Changes(now mono.Time, r Records, most int) []Change {
+// Changes returns the observations that are not in the records yet, up to the limit, and drops those that are. Callers repeat
+// the call until it returns none, because only the records show whether a change was made.
+func (t *Tracker) Changes(now mono.Time, r Records, limit int) []Change {
 	t.expire(now)
 	var l []Change
-	for f, o := range t.own {
-		n := o.with(r[f])
+	for f, o := range t.pending {
+		n := o.apply(r[f])
 		if n == r[f] {
-			delete(t.own, f)
+			delete(t.pending, f)
 			continue
 		}
 		if r[f] == 0 && len(r) >= MaxRecords {
@@ -213,45 +213,45 @@
 		l = append(l, Change{Fingerprint: f, Crashes: n})
 	}
 	slices.SortFunc(l, func(a, b Change) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
-	return l[:min(len(l), most)]
+	return l[:min(len(l), limit)]
 }
 
 func (t *Tracker) expire(now mono.Time) {
-	for l, b := range t.broken {
-		if now.Sub(b.at) > brokenFor {
-			delete(t.broken, l)
+	for l, b := range t.interrupted {
+		if now.Sub(b.at) > interruptedTTL {
+			delete(t.interrupted, l)
 		}
 	}
-	for f, o := range t.own {
-		if now.Sub(o.at) > ownFor {
-			delete(t.own, f)
+	for f, o := range t.pending {
+		if now.Sub(o.at) > pendingTTL {
+			delete(t.pending, f)
 		}
 	}
 }
 
-// Aging finds the records that are too old, for the daemon that drops them.
-type Aging struct {
-	seen map[Fingerprint]aged
+// Expiry tracks the age of records, for the daemon that drops expired ones.
+type Expiry struct {
+	seen map[Fingerprint]observedRecord
 }
 
-type aged struct {
+type observedRecord struct {
 	crashes int
 	since   mono.Time
 }
 
-// NewAging returns an Aging that has seen no record yet: their ages count from when it first does.
-func NewAging() *Aging { return &Aging{seen: map[Fingerprint]aged{}} }
+// NewExpiry returns an Expiry without records. The age of a record starts at the first call of Expired that includes it.
+func NewExpiry() *Expiry { return &Expiry{seen: map[Fingerprint]observedRecord{}} }
 
-// Expired returns the records that are to be dropped.
-func (a *Aging) Expired(now mono.Time, r Records) []Fingerprint {
+// Expired returns the records without another crash for their RecordTTL. Callers drop them.
+func (a *Expiry) Expired(now mono.Time, r Records) []Fingerprint {
 	var old []Fingerprint
 	for f, n := range r {
 		x, known := a.seen[f]
 		if !known || x.crashes != n {
-			a.seen[f] = aged{crashes: n, since: now}
+			a.seen[f] = observedRecord{crashes: n, since: now}
 			continue
 		}
-		if now.Sub(x.since) >= KeepFor(n) {
+		if now.Sub(x.since) >= RecordTTL(n) {
 			old = append(old, f)
 		}
 	}
--- a/core/source/model_test.go
+++ b/core/source/model_test.go
@@ -181,7 +181,7 @@
 	n.pollNow()
 }
 
-// pollStore plays the duty that asks the pollStore for a table.
+// pollStore runs the daemon's poll of the store for one table.
 func (m *modelSite) pollStore(n *modelNode, t int) {
 	if n.answerAt[t] > 0 {
 		m.storeAnswer(n, t)
--- a/io/feed/draft.go
+++ b/io/feed/draft.go
@@ -197,7 +197,7 @@
 		d.s.Crashes = crash.Records{}
 	}
 	d.s.Crashes[f] = now
-	if was < crash.RefusedFrom && now >= crash.RefusedFrom {
+	if was < crash.RefusalThreshold && now >= crash.RefusalThreshold {
 		d.o.Log.Warn().Str("fingerprint", name).Int("crashes", now).Uint64("rev", uint64(r.Rev)).
 			Msg("request is kept from servers")
 	}
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -83,12 +83,12 @@
 
 	mu      sync.Mutex
 	tracker *crash.Tracker
-	probing map[crash.Life]chan struct{} // closed once it is known whether the server has crashed
+	probing map[crash.ServerIncarnation]chan struct{} // closed once it is known whether the server has crashed
 }
 
 // New returns a guard; Run starts it.
 func New(o Options) *Guard {
-	return &Guard{o: o, broken: make(chan *site.Server, probers), found: make(chan struct{}, 1), tracker: crash.NewTracker(), probing: map[crash.Life]chan struct{}{}}
+	return &Guard{o: o, broken: make(chan *site.Server, probers), found: make(chan struct{}, 1), tracker: crash.NewTracker(), probing: map[crash.ServerIncarnation]chan struct{}{}}
 }
 
 // Run starts probing servers and sharing what is found.
@@ -155,7 +155,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := lifeOf(x)
-	if !g.tracker.Broke(g.o.Clock.Now(), l, r) {
+	if !g.tracker.Interrupted(g.o.Clock.Now(), l, r) {
 		return cmp.Or(g.probing[l], probed)
 	}
 	select {
@@ -163,7 +163,7 @@
 		g.probing[l] = make(chan struct{})
 		return g.probing[l]
 	default:
-		g.tracker.Lives(l) // too many at once to probe
+		g.tracker.ServerAlive(l) // too many at once to probe
 		return probed
 	}
 }
@@ -176,10 +176,10 @@
 }()
 
 // lifeOf returns the digest of a server's life.
-func lifeOf(x *site.Server) crash.Life {
+func lifeOf(x *site.Server) crash.ServerIncarnation {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(string(x.ID) + " " + strconv.FormatInt(x.Born, 10))) // never fails
-	return crash.Life(h.Sum64())
+	return crash.ServerIncarnation(h.Sum64())
 }
 
 // probe finds out whether servers whose runs broke off have crashed.
@@ -209,10 +209,10 @@
 		delete(g.probing, l)
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
-		g.tracker.Lives(l)
+		g.tracker.ServerAlive(l)
 		return
 	}
-	blamed := g.tracker.Crashed(g.o.Clock.Now(), r, l)
+	blamed := g.tracker.ServerCrashed(g.o.Clock.Now(), r, l)
 	if len(blamed) == 0 {
 		return
 	}
@@ -308,7 +308,7 @@
 func (g *Guard) drop(c context.Context) error {
 	t := time.NewTicker(dropEvery)
 	defer t.Stop()
-	aging := crash.NewAging()
+	aging := crash.NewExpiry()
 	for {
 		select {
 		case <-c.Done():
@@ -344,7 +344,7 @@
 func (g *Guard) States() []State {
 	var l []State
 	for f, n := range g.o.View.Snapshot().Crashes {
-		l = append(l, State{Fingerprint: f.String(), Crashes: n, Refused: n >= crash.RefusedFrom})
+		l = append(l, State{Fingerprint: f.String(), Crashes: n, Refused: n >= crash.RefusalThreshold})
 	}
 	slices.SortFunc(l, func(a, b State) int {
 		return cmp.Or(cmp.Compare(b.Crashes, a.Crashes), cmp.Compare(a.Fingerprint, b.Fingerprint))
--- a/io/guard/guard_test.go
+++ b/io/guard/guard_test.go
@@ -157,10 +157,10 @@
 	for born := range int64(3) {
 		x := *s.server
 		x.Born = born
-		<-g.Broke(&x, crash.Run{Fingerprint: f, Known: g.Crashes(f)})
+		<-g.Broke(&x, crash.Run{Fingerprint: f, KnownCrashes: g.Crashes(f)})
 	}
 	require.Eventually(t, func() bool { return s.recorded(f) == 3 }, 5*time.Second, 10*time.Millisecond)
-	require.Equal(t, crash.RefusedFrom, g.Crashes(f))
+	require.Equal(t, crash.RefusalThreshold, g.Crashes(f))
 	require.Equal(t, 3, s.crashes)
 }
 
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -186,7 +186,7 @@
 	if route == nil || !route.Sends(r.service.Name) || !r.stillAuthorised(route, snap.Config) {
 		return false
 	}
-	if r.crashes = s.crashes(r); r.crashes >= crash.RefusedFrom {
+	if r.crashes = s.crashes(r); r.crashes >= crash.RefusalThreshold {
 		return false
 	}
 	if r.service.Keyed {
--- a/io/send/guard.go
+++ b/io/send/guard.go
@@ -73,14 +73,14 @@
 }
 
 // deadly reports whether the request is kept from servers.
-func (s *Sender) deadly(r *request) bool { return s.crashes(r) >= crash.RefusedFrom }
+func (s *Sender) deadly(r *request) bool { return s.crashes(r) >= crash.RefusalThreshold }
 
 // guard takes in what an exchange tells of the request as one that may crash servers.
 func (s *Sender) guard(r *request, b *back, x conns.Result, resp *fasthttp.Response) {
 	switch {
 	case x.Outcome == retry.Unknown && x.End == admit.EndReset:
 		r.broke++
-		r.probed = s.o.Guard.Broke(b.server, crash.Run{Fingerprint: r.fingerprint(), Known: r.crashes})
+		r.probed = s.o.Guard.Broke(b.server, crash.Run{Fingerprint: r.fingerprint(), KnownCrashes: r.crashes})
 	case x.Outcome == retry.Answered && resp.StatusCode() < fasthttp.StatusInternalServerError && s.o.Guard.Watches():
 		s.o.Guard.Answered(r.fingerprint())
 	}
