--- a/core/live/live.go
+++ b/core/live/live.go
@@ -1,7 +1,7 @@
-// Package live keeps what one daemon knows of which other daemons are alive.
+// Package live is the failure detector of one daemon for the other daemons.
 //
-// Its verdicts are suspicions: they start work, such as choosing a new home, that is safe when they are
-// wrong. Who may send to a backend server is decided by leases alone.
+// Its results are suspicions and may be wrong. They only start work that is safe in that case, such as choosing a new
+// home. Leases alone decide which daemon may send to a backend server.
 package live
 
 import (
@@ -14,23 +14,23 @@
 )
 
 const (
-	// SilentAfter is how long a daemon may say nothing before its work is given to others. Probes come several
-	// times within it, and it leaves a lost home's keys unserved for less than the 3 s that are promised.
-	SilentAfter = 900 * time.Millisecond
+	// SuspectAfter is how long a daemon may send no heartbeat before its work is given to others. Several probes fit
+	// into it, and the keys of a failed home are unserved for less than the guaranteed 3 s.
+	SuspectAfter = 900 * time.Millisecond
 
-	// SilentListed is the same for a daemon that the host list calls gone too. The list lags and errs, so it
-	// only shortens the wait: a daemon that still speaks is alive, whatever the list says.
-	SilentListed = 600 * time.Millisecond
+	// SuspectAfterGone replaces SuspectAfter for a daemon that is also gone from the host list. The list may lag or be
+	// wrong, so it only shortens the timeout: a daemon that still sends heartbeats is alive whatever the list says.
+	SuspectAfterGone = 600 * time.Millisecond
 
-	// PausedAfter is the gap between two calls from which on this process is taken to have been paused.
-	PausedAfter = 400 * time.Millisecond
+	// PauseThreshold is the time between two calls of a View beyond which this process is assumed to have been paused.
+	PauseThreshold = 400 * time.Millisecond
 
-	// ForgetAfter is how long a silent daemon is remembered, so that a return can be told from a first sight.
+	// ForgetAfter is how long a daemon without heartbeats is kept, so that its return differs from a first heartbeat.
 	ForgetAfter = 10 * time.Minute
 )
 
-// Word is what a daemon says of itself in a probe or its answer.
-type Word struct {
+// Heartbeat is what a daemon reports of itself in a probe or in the answer to one.
+type Heartbeat struct {
 	Daemon      ident.Daemon
 	Domain      ident.Domain
 	Region      ident.Region
@@ -38,109 +38,109 @@
 	Leaving     bool
 }
 
-// Daemon is what is known of one daemon.
+// Daemon is the state of one daemon as another daemon knows it.
 type Daemon struct {
-	Word
-	Since   mono.Time // when its present run of words began; meaningful while it is alive
-	Heard   mono.Time // its last word
-	Listed  Listing
-	Forgets mono.Time // when it is forgotten unless it speaks
+	Heartbeat
+	AliveSince  mono.Time // start of the current period alive, valid only while the daemon is alive
+	LastContact mono.Time // when it last sent a message, or later after a pause of this process
+	Listed      Listing
+	ForgetAt    mono.Time // when the daemon is removed from the view without a further heartbeat
 }
 
-// Listing is what the platform's host list says of a daemon.
+// Listing is the state of a daemon in the platform's host list.
 type Listing uint8
 
 const (
-	// Unlisted is a daemon that the list has not named yet, or the list could not be read.
+	// Unlisted means that the list has not included the daemon yet, or could not be read.
 	Unlisted Listing = iota
-	// ListedLive is a daemon that the list calls live.
+	// ListedLive means that the list includes the daemon's host as live.
 	ListedLive
-	// ListedLeaving is a daemon whose host the list calls leaving.
+	// ListedLeaving means that the list includes the daemon's host as leaving.
 	ListedLeaving
-	// ListedGone is a daemon that the list named once and no longer does.
+	// ListedGone means that the list included the daemon's host earlier and no longer does.
 	ListedGone
 )
 
-// Alive reports whether the daemon spoke recently enough to be given work.
+// Alive reports whether the daemon's last heartbeat is recent enough for it to be given work.
 func (d *Daemon) Alive(now mono.Time) bool {
-	return now.Before(d.SilentAt())
+	return now.Before(d.SuspectAt())
 }
 
-// SilentAt returns when the daemon counts as silent unless it speaks.
-func (d *Daemon) SilentAt() mono.Time {
+// SuspectAt returns when the daemon becomes suspected without a further heartbeat.
+func (d *Daemon) SuspectAt() mono.Time {
 	if d.Listed == ListedGone {
-		return d.Heard.Add(SilentListed)
+		return d.LastContact.Add(SuspectAfterGone)
 	}
-	return d.Heard.Add(SilentAfter)
+	return d.LastContact.Add(SuspectAfter)
 }
 
-// Leaves reports whether the daemon says that it is leaving, or the host list says so of its host.
-func (d *Daemon) Leaves() bool {
+// IsLeaving reports whether the daemon's last heartbeat or the host list says that it is leaving.
+func (d *Daemon) IsLeaving() bool {
 	return d.Leaving || d.Listed == ListedLeaving
 }
 
-// View is what one daemon knows of all others; itself it always knows to be alive.
+// View is the state of all daemons as one daemon knows it. It always reports its own daemon as alive.
 //
-// Its owner asks it or tells it something several times within PausedAfter.
+// Its owner must call it several times within PauseThreshold.
 type View struct {
-	self    ident.Daemon
-	daemons map[ident.Daemon]*Daemon
-	awake   mono.Time // a call after this means that the process was paused in between
+	self        ident.Daemon
+	daemons     map[ident.Daemon]*Daemon
+	pausedAfter mono.Time // a call after this time shows that the process was paused since the previous one
 }
 
-// New returns a view that knows only the daemon itself.
-func New(now mono.Time, self Word) *View {
-	v := &View{self: self.Daemon, daemons: map[ident.Daemon]*Daemon{}, awake: mono.Never}
-	v.Hear(now, self)
+// New returns a view that contains only its own daemon.
+func New(now mono.Time, self Heartbeat) *View {
+	v := &View{self: self.Daemon, daemons: map[ident.Daemon]*Daemon{}, pausedAfter: mono.Never}
+	v.Observe(now, self)
 	return v
 }
 
-// wake credits the others with the time of a pause of this process. Their words of that time wait in its
-// sockets. Without this, a daemon that was frozen for a second would find everybody silent at its first
-// look, and as a coordinator would move every home.
-func (v *View) wake(now mono.Time) {
-	if v.awake.Before(now) {
-		paused := v.awake.Add(-PausedAfter)
+// creditPause extends the timeouts of the other daemons after a pause of this process, as heartbeats received during the
+// pause are still unread in its sockets. Otherwise a daemon paused for a second would suspect all others at its next
+// call, and a coordinator would reassign every home.
+func (v *View) creditPause(now mono.Time) {
+	if v.pausedAfter.Before(now) {
+		paused := v.pausedAfter.Add(-PauseThreshold)
 		for _, d := range v.daemons {
 			if d.Alive(paused) {
-				d.Heard = max(d.Heard, now.Add(-PausedAfter))
+				d.LastContact = max(d.LastContact, now.Add(-PauseThreshold))
 			}
 		}
 	}
-	v.awake = now.Add(PausedAfter)
+	v.pausedAfter = now.Add(PauseThreshold)
 }
 
-// Hear takes in a word of a daemon.
+// Observe records a heartbeat of a daemon.
 //
-// A word of an older incarnation is a late one from before a restart. Taken in, it would make a daemon
-// that has started anew and is silent look alive, and bring back a leaving flag of its former life.
-func (v *View) Hear(now mono.Time, w Word) {
-	v.wake(now)
+// A heartbeat of an older incarnation is ignored, as it was sent before a restart. It would make a restarted daemon that
+// sends nothing look alive, and restore the leaving flag of its previous incarnation.
+func (v *View) Observe(now mono.Time, w Heartbeat) {
+	v.creditPause(now)
 	d := v.daemons[w.Daemon]
 	if d != nil && w.Incarnation < d.Incarnation {
 		return
 	}
 	if d == nil {
-		d = &Daemon{Since: now}
+		d = &Daemon{AliveSince: now}
 		v.daemons[w.Daemon] = d
 	}
 	if !d.Alive(now) || w.Incarnation > d.Incarnation {
-		d.Since = now
+		d.AliveSince = now
 	}
-	d.Word = w
-	d.Heard = max(d.Heard, now)
-	d.Forgets = d.Heard.Add(ForgetAfter)
+	d.Heartbeat = w
+	d.LastContact = max(d.LastContact, now)
+	d.ForgetAt = d.LastContact.Add(ForgetAfter)
 }
 
-// Refresh notes that a known daemon has just shown itself alive by some other message.
+// Refresh records that another message from a known daemon has just shown that it is alive.
 func (v *View) Refresh(now mono.Time, id ident.Daemon) {
 	if d := v.daemons[id]; d != nil {
-		v.Hear(now, d.Word)
+		v.Observe(now, d.Heartbeat)
 	}
 }
 
-// List takes in a whole reading of the host list: the daemons that it names, and whether each is leaving.
-func (v *View) List(hosts map[ident.Daemon]bool) {
+// SetHostList applies a complete host list: the daemons that it includes, each with whether it is leaving.
+func (v *View) SetHostList(hosts map[ident.Daemon]bool) {
 	for id, d := range v.daemons {
 		leaving, ok := hosts[id]
 		switch {
@@ -154,13 +154,13 @@
 	}
 }
 
-// Daemons returns all that is known, sorted by name, and forgets daemons that have been silent for long.
+// Daemons returns the state of all daemons, sorted by name. It first removes daemons whose ForgetAt has passed.
 func (v *View) Daemons(now mono.Time) []Daemon {
-	v.wake(now)
-	v.daemons[v.self].Heard = max(v.daemons[v.self].Heard, now)
+	v.creditPause(now)
+	v.daemons[v.self].LastContact = max(v.daemons[v.self].LastContact, now)
 	l := make([]Daemon, 0, len(v.daemons))
 	for id, d := range v.daemons {
-		if id != v.self && !now.Before(d.Forgets) {
+		if id != v.self && !now.Before(d.ForgetAt) {
 			delete(v.daemons, id)
 			continue
 		}
@@ -170,9 +170,9 @@
 	return l
 }
 
-// Alive reports whether a daemon is alive.
+// Alive reports whether a daemon is known and not suspected.
 func (v *View) Alive(now mono.Time, id ident.Daemon) bool {
-	v.wake(now)
+	v.creditPause(now)
 	d := v.daemons[id]
 	return d != nil && (id == v.self || d.Alive(now))
 }
--- a/core/live/live_test.go
+++ b/core/live/live_test.go
@@ -13,85 +13,85 @@
 
 const start = mono.Time(time.Hour)
 
-func word(name string, i ident.Incarnation) Word {
-	return Word{Daemon: ident.Daemon(name), Domain: "z0", Region: "r", Incarnation: i}
+func heartbeat(name string, i ident.Incarnation) Heartbeat {
+	return Heartbeat{Daemon: ident.Daemon(name), Domain: "z0", Region: "r", Incarnation: i}
 }
 
-// later asks often enough on the way not to look paused.
-func later(v *View, from mono.Time, d time.Duration) mono.Time {
+// advance returns the time after d. It calls the view every 50 ms until then, so that it doesn't detect a pause.
+func advance(v *View, from mono.Time, d time.Duration) mono.Time {
 	for t := from; t.Before(from.Add(d)); t = t.Add(50 * time.Millisecond) {
 		v.Daemons(t)
 	}
 	return from.Add(d)
 }
 
-func TestSilenceAndReturn(t *testing.T) {
-	v := New(start, word("a", 1))
-	v.Hear(start, word("b", 1))
-	now := later(v, start, SilentAfter-time.Millisecond)
+func TestSuspicionAndReturn(t *testing.T) {
+	v := New(start, heartbeat("a", 1))
+	v.Observe(start, heartbeat("b", 1))
+	now := advance(v, start, SuspectAfter-time.Millisecond)
 	require.True(t, v.Alive(now, "b"))
-	now = later(v, now, time.Millisecond)
+	now = advance(v, now, time.Millisecond)
 	require.False(t, v.Alive(now, "b"))
 	require.True(t, v.Alive(now, "a"), "itself")
-	require.False(t, v.Alive(now, "c"), "never heard")
-	now = later(v, now, time.Second)
-	v.Hear(now, word("b", 1))
+	require.False(t, v.Alive(now, "c"), "no heartbeat received")
+	now = advance(v, now, time.Second)
+	v.Observe(now, heartbeat("b", 1))
 	require.True(t, v.Alive(now, "b"))
-	require.Equal(t, now, v.Daemons(now)[1].Since)
-	now = later(v, now, ForgetAfter)
+	require.Equal(t, now, v.Daemons(now)[1].AliveSince)
+	now = advance(v, now, ForgetAfter)
 	require.Len(t, v.Daemons(now), 1)
 }
 
-// A word from before a restart arrives after the first word of the new life. Nobody may see the daemon's
-// old leaving flag come back, or take the late word for a sign of life.
-func TestLateWordOfOlderIncarnationIsIgnored(t *testing.T) {
-	v := New(start, word("a", 1))
-	v.Hear(start, word("b", 2))
-	now := later(v, start, 800*time.Millisecond)
-	late := word("b", 1)
+// Guards against a heartbeat from before a restart that arrives after the first one from the new incarnation. It must not
+// restore the old leaving flag or make the daemon look alive.
+func TestHeartbeatOfOlderIncarnationIsIgnored(t *testing.T) {
+	v := New(start, heartbeat("a", 1))
+	v.Observe(start, heartbeat("b", 2))
+	now := advance(v, start, 800*time.Millisecond)
+	late := heartbeat("b", 1)
 	late.Leaving = true
-	v.Hear(now, late)
-	now = later(v, now, 200*time.Millisecond)
+	v.Observe(now, late)
+	now = advance(v, now, 200*time.Millisecond)
 	require.False(t, v.Alive(now, "b"))
-	require.False(t, v.Daemons(now)[1].Leaves())
+	require.False(t, v.Daemons(now)[1].IsLeaving())
 }
 
-// The process is frozen for a minute and goes on. At its first look everybody has been silent for a
-// minute, though it is the one that was away; it must wait for a silence that it was there to see.
-func TestOwnPauseIsNoSilenceOfOthers(t *testing.T) {
-	v := New(start, word("a", 1))
-	v.Hear(start, word("b", 1))
-	v.Hear(start, word("dead", 1))
-	now := later(v, start, 800*time.Millisecond)
-	v.Hear(now, word("b", 1))
-	now = later(v, now, 200*time.Millisecond)
-	require.False(t, v.Alive(now, "dead"))
+// Guards against a process that suspects all others after its own pause of a minute, in which it received no heartbeats. Only
+// time without heartbeats while it runs may count.
+func TestOwnPauseDoesNotSuspectOthers(t *testing.T) {
+	v := New(start, heartbeat("a", 1))
+	v.Observe(start, heartbeat("b", 1))
+	v.Observe(start, heartbeat("down", 1))
+	now := advance(v, start, 800*time.Millisecond)
+	v.Observe(now, heartbeat("b", 1))
+	now = advance(v, now, 200*time.Millisecond)
+	require.False(t, v.Alive(now, "down"))
 	now = now.Add(time.Minute)
 	require.True(t, v.Alive(now, "b"))
-	require.False(t, v.Alive(now, "dead"), "was silent before the pause")
-	now = later(v, now, SilentAfter)
-	require.False(t, v.Alive(now, "b"), "and is still silent after it")
+	require.False(t, v.Alive(now, "down"), "was suspected before the pause")
+	now = advance(v, now, SuspectAfter)
+	require.False(t, v.Alive(now, "b"), "has sent no heartbeat after the pause either")
 }
 
-// The host list lags and errs: it may call a daemon gone that speaks, or live that is dead. It only
-// shortens the wait for one that is silent too.
-func TestHostListIsOnlyAHint(t *testing.T) {
-	v := New(start, word("a", 1))
-	v.Hear(start, word("b", 1))
-	v.List(map[ident.Daemon]bool{"a": false})
-	require.Equal(t, Unlisted, v.Daemons(start)[1].Listed, "a list that has not caught up says nothing")
-	v.List(map[ident.Daemon]bool{"a": false, "b": true})
-	require.True(t, v.Daemons(start)[1].Leaves())
-	v.List(map[ident.Daemon]bool{"a": false})
-	now := later(v, start, SilentListed-time.Millisecond)
+// Guards against relying on the host list, which may lag or be wrong: a daemon that it lists as gone may send heartbeats, and
+// one that it lists as live may be dead. It may only shorten the timeout of a daemon without heartbeats.
+func TestHostListOnlyShortensTimeout(t *testing.T) {
+	v := New(start, heartbeat("a", 1))
+	v.Observe(start, heartbeat("b", 1))
+	v.SetHostList(map[ident.Daemon]bool{"a": false})
+	require.Equal(t, Unlisted, v.Daemons(start)[1].Listed, "a list that has not included the daemon yet has no effect")
+	v.SetHostList(map[ident.Daemon]bool{"a": false, "b": true})
+	require.True(t, v.Daemons(start)[1].IsLeaving())
+	v.SetHostList(map[ident.Daemon]bool{"a": false})
+	now := advance(v, start, SuspectAfterGone-time.Millisecond)
 	require.True(t, v.Alive(now, "b"))
-	now = later(v, now, time.Millisecond)
+	now = advance(v, now, time.Millisecond)
 	require.False(t, v.Alive(now, "b"))
-	v.Hear(now, word("b", 1))
-	require.True(t, v.Alive(now, "b"), "it speaks")
-	v.List(map[ident.Daemon]bool{"a": false, "b": false})
-	now = later(v, now, SilentAfter)
-	require.False(t, v.Alive(now, "b"), "listed as live, and silent")
+	v.Observe(now, heartbeat("b", 1))
+	require.True(t, v.Alive(now, "b"), "it sends heartbeats")
+	v.SetHostList(map[ident.Daemon]bool{"a": false, "b": false})
+	now = advance(v, now, SuspectAfter)
+	require.False(t, v.Alive(now, "b"), "listed as live, but without heartbeats")
 }
 
 func TestCoordinatorIsFirstLiveWitness(t *testing.T) {
@@ -101,11 +101,11 @@
 	require.Empty(t, Coordinator([]ident.Daemon{"a"}, is))
 }
 
-func TestRankInterleavesDomainsAndHardlyChanges(t *testing.T) {
+func TestRankInterleavesDomains(t *testing.T) {
 	var l []Daemon
 	domain := map[ident.Daemon]ident.Domain{}
 	for i := range 12 {
-		d := Daemon{Word: Word{Daemon: ident.Daemon(fmt.Sprintf("d%02d", i)), Domain: ident.Domain(fmt.Sprintf("z%d", i%3)), Region: "r"}, Heard: start}
+		d := Daemon{Heartbeat: Heartbeat{Daemon: ident.Daemon(fmt.Sprintf("d%02d", i)), Domain: ident.Domain(fmt.Sprintf("z%d", i%3)), Region: "r"}, LastContact: start}
 		domain[d.Daemon] = d.Domain
 		l = append(l, d)
 	}
--- a/core/live/rank.go
+++ b/core/live/rank.go
@@ -10,10 +10,10 @@
 	"heatherrouter/core/mono"
 )
 
-// Coordinator returns the first witness that is alive, or nothing when none is.
+// Coordinator returns the first witness that is alive, or "" if none is.
 //
-// Two daemons may each take themselves for it, when they see different daemons alive. That costs a
-// conflict of their transactions, of which the table commits one.
+// Two daemons may both act as coordinator when they consider different daemons alive. Their transactions then conflict,
+// and the table commits only one of them.
 func Coordinator(witnesses []ident.Daemon, alive func(ident.Daemon) bool) ident.Daemon {
 	for _, w := range witnesses {
 		if alive(w) {
@@ -23,8 +23,8 @@
 	return ""
 }
 
-// Score is the rendezvous weight of a daemon for a name. The highest score wins, and a daemon that comes
-// or goes changes the winner only of the names that it wins itself.
+// Score returns the rendezvous hashing weight of a daemon for a name. The daemon with the highest score is selected. Adding
+// or removing a daemon changes the selection only for the names for which it has the highest score.
 func Score(name string, d ident.Daemon) uint64 {
 	x := xxhash.New()
 	_, _ = x.WriteString(name)
@@ -33,25 +33,25 @@
 	return x.Sum64()
 }
 
-// Rank orders the daemons of a region that are alive and stay, by rendezvous score for the name, taking one domain
-// after the other, so that the first five of them are good witnesses. Before a service has witnesses,
-// the first one of the rank acts as coordinator.
+// Rank returns the daemons of a region that are alive and not leaving, by rendezvous score for the name. It alternates
+// between failure domains, so that the first five daemons are suitable witnesses. Before a service has witnesses, the first
+// daemon acts as coordinator.
 func Rank(now mono.Time, name string, r ident.Region, daemons []Daemon) []ident.Daemon {
 	byDomain := map[ident.Domain][]ident.Daemon{}
 	for _, d := range daemons {
-		if d.Alive(now) && !d.Leaves() && d.Region == r {
+		if d.Alive(now) && !d.IsLeaving() && d.Region == r {
 			byDomain[d.Domain] = append(byDomain[d.Domain], d.Daemon)
 		}
 	}
-	score := func(a, b ident.Daemon) int {
+	byScore := func(a, b ident.Daemon) int {
 		return cmp.Or(cmp.Compare(Score(name, b), Score(name, a)), cmp.Compare(a, b))
 	}
 	var lists [][]ident.Daemon
 	for _, l := range byDomain {
-		slices.SortFunc(l, score)
+		slices.SortFunc(l, byScore)
 		lists = append(lists, l)
 	}
-	slices.SortFunc(lists, func(a, b []ident.Daemon) int { return score(a[0], b[0]) })
+	slices.SortFunc(lists, func(a, b []ident.Daemon) int { return byScore(a[0], b[0]) })
 	return interleave(lists)
 }
 
--- a/core/place/daemons.go
+++ b/core/place/daemons.go
@@ -14,7 +14,7 @@
 // leaving reports whether a daemon, alive or not, is about to go.
 func (p *planner) leaving(id ident.Daemon) bool {
 	d := p.daemons[id]
-	return d != nil && (d.Leaves() || p.in.Drains.Daemons[id] || p.in.Drains.Domains[d.Domain])
+	return d != nil && (d.IsLeaving() || p.in.Drains.Daemons[id] || p.in.Drains.Domains[d.Domain])
 }
 
 // silentAt returns when a daemon's silence becomes a reason to act, if it is silent.
@@ -24,9 +24,9 @@
 	case d == nil:
 		return p.memory.startedAt.Add(unknownWait)
 	case p.isolated:
-		return d.Heard.Add(isolatedWait)
+		return d.LastContact.Add(isolatedWait)
 	}
-	return d.SilentAt()
+	return d.SuspectAt()
 }
 
 // silent reports whether a daemon has been silent for long enough to act.
@@ -37,7 +37,7 @@
 // lastWord returns when a daemon spoke last, as far as this one can know.
 func (p *planner) lastWord(id ident.Daemon) mono.Time {
 	if d := p.daemons[id]; d != nil {
-		return d.Heard
+		return d.LastContact
 	}
 	return p.memory.startedAt
 }
@@ -54,7 +54,7 @@
 		switch {
 		case d.Alive(p.now):
 			alive++
-		case p.now.Before(d.Heard.Add(recentWait)) && d.Listed != live.ListedGone && !p.leaving(id):
+		case p.now.Before(d.LastContact.Add(recentWait)) && d.Listed != live.ListedGone && !p.leaving(id):
 			silent++
 		}
 	}
@@ -76,7 +76,7 @@
 			continue
 		}
 		count[d.Domain]++
-		last[d.Domain] = max(last[d.Domain], d.SilentAt())
+		last[d.Domain] = max(last[d.Domain], d.SuspectAt())
 		heard[d.Domain] = heard[d.Domain] || !p.silent(id)
 	}
 	lost := map[ident.Server]bool{}
--- a/core/place/homes.go
+++ b/core/place/homes.go
@@ -207,7 +207,7 @@
 
 func (p *planner) betterHome(id ident.Server, from, to ident.Daemon) bool {
 	f, t := p.daemons[from], p.daemons[to]
-	if p.now.Before(t.Since.Add(homeWait)) {
+	if p.now.Before(t.AliveSince.Add(homeWait)) {
 		return false
 	}
 	domain := p.domainOf(id)
--- a/core/place/homes_test.go
+++ b/core/place/homes_test.go
@@ -175,7 +175,7 @@
 	require.Zero(t, count["z1"])
 	for i := range s.in.Daemons {
 		if s.in.Daemons[i].Domain == "z1" {
-			s.in.Daemons[i].Since = s.now
+			s.in.Daemons[i].AliveSince = s.now
 		}
 	}
 	s.run(40 * time.Second)
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -45,8 +45,8 @@
 	}
 	for i := range 12 {
 		s.in.Daemons = append(s.in.Daemons, live.Daemon{
-			Word:  live.Word{Daemon: ident.Daemon(fmt.Sprintf("d%02d", i)), Domain: domain(i % 3), Region: "r", Incarnation: 1},
-			Since: start, Heard: start,
+			Heartbeat:  live.Heartbeat{Daemon: ident.Daemon(fmt.Sprintf("d%02d", i)), Domain: domain(i % 3), Region: "r", Incarnation: 1},
+			AliveSince: start, LastContact: start,
 		})
 	}
 	return s
@@ -90,7 +90,7 @@
 	}
 	for i := range s.in.Daemons {
 		if d := &s.in.Daemons[i]; !quiet[d.Daemon] {
-			d.Heard = s.now
+			d.LastContact = s.now
 		}
 	}
 	if s.in.Part == nil {
--- a/core/place/witness.go
+++ b/core/place/witness.go
@@ -76,7 +76,7 @@
 func (p *planner) settled(wait time.Duration) int {
 	n := 0
 	for _, d := range p.usable {
-		if !p.now.Before(d.Since.Add(wait)) {
+		if !p.now.Before(d.AliveSince.Add(wait)) {
 			n++
 		}
 	}
@@ -111,7 +111,7 @@
 func (p *planner) perDomain(wait time.Duration) int {
 	size := map[ident.Domain]int{}
 	for _, d := range p.usable {
-		if !p.now.Before(d.Since.Add(wait)) {
+		if !p.now.Before(d.AliveSince.Add(wait)) {
 			size[d.Domain]++
 		}
 	}
--- a/io/coord/input.go
+++ b/io/coord/input.go
@@ -118,7 +118,7 @@
 func (x *Coordinator) surelyOut(now mono.Time, w ident.Daemon, l []live.Daemon) bool {
 	for _, y := range l {
 		if y.Daemon == w {
-			return y.Listed == live.ListedGone && now.Sub(y.Heard) > x.o.Terms.Lapse()
+			return y.Listed == live.ListedGone && now.Sub(y.LastContact) > x.o.Terms.Lapse()
 		}
 	}
 	return false
--- a/io/daemon/backend.go
+++ b/io/daemon/backend.go
@@ -178,11 +178,11 @@
 			y.Address = a.String()
 		}
 		switch {
-		case !x.Alive(now) && now.Sub(x.Heard) > 15*time.Second:
+		case !x.Alive(now) && now.Sub(x.LastContact) > 15*time.Second:
 			y.State = admin.StateDown
 		case c.DaemonDrained(x.Daemon, x.Domain):
 			y.State = admin.StateDrained
-		case x.Leaves():
+		case x.IsLeaving():
 			y.State = admin.StateLeaving
 		}
 		out.Daemons = append(out.Daemons, y)
--- a/io/daemon/daemon.go
+++ b/io/daemon/daemon.go
@@ -142,12 +142,12 @@
 
 func (d *Daemon) buildPeers() error {
 	s := d.settings
-	self := member.Host{Peer: s.Peer, Word: live.Word{
+	self := member.Host{Peer: s.Peer, Word: live.Heartbeat{
 		Daemon: s.Name, Domain: s.Domain, Region: s.Region, Incarnation: ident.Incarnation(d.started.UnixNano()),
 	}}
 	var seeds []member.Host
 	for _, p := range s.Peers {
-		seeds = append(seeds, member.Host{Peer: p.Addr, Word: live.Word{Daemon: p.Name}})
+		seeds = append(seeds, member.Host{Peer: p.Addr, Word: live.Heartbeat{Daemon: p.Name}})
 	}
 	d.members = member.New(member.Options{
 		Self: self, Seeds: seeds, Clock: d.clock, Caller: d, Docs: d.store, Log: d.log,
--- a/io/member/member.go
+++ b/io/member/member.go
@@ -48,7 +48,7 @@
 
 // Host is a daemon's entry.
 type Host struct {
-	Word live.Word
+	Word live.Heartbeat
 	Peer netip.AddrPort
 }
 
@@ -123,7 +123,7 @@
 	return m.view.Daemons(m.o.Clock.Now())
 }
 
-// Watch sets the daemons whose silence must be noticed within live.SilentAfter.
+// Watch sets the daemons whose silence must be noticed within live.SuspectAfter.
 func (m *Members) Watch(l map[ident.Daemon]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,7 +135,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Word.Leaving = true
-	m.view.Hear(m.o.Clock.Now(), m.self.Word)
+	m.view.Observe(m.o.Clock.Now(), m.self.Word)
 }
 
 // Random returns up to n other daemons that seem alive.
@@ -145,7 +145,7 @@
 	now := m.o.Clock.Now()
 	var l []ident.Daemon
 	for _, d := range m.view.Daemons(now) {
-		if d.Daemon != m.self.Word.Daemon && now.Sub(d.Heard) < live.ForgetAfter/10 {
+		if d.Daemon != m.self.Word.Daemon && now.Sub(d.LastContact) < live.ForgetAfter/10 {
 			l = append(l, d.Daemon)
 		}
 	}
@@ -188,7 +188,7 @@
 	now := m.o.Clock.Now()
 	heard := map[ident.Daemon]mono.Time{}
 	for _, d := range m.view.Daemons(now) {
-		heard[d.Daemon] = d.Heard
+		heard[d.Daemon] = d.LastContact
 	}
 	var l []ident.Daemon
 	for d := range m.watched {
@@ -307,5 +307,5 @@
 			m.addrs[h.Name] = h.Peer
 		}
 	}
-	m.view.List(leaving)
+	m.view.SetHostList(leaving)
 }
--- a/io/member/wire.go
+++ b/io/member/wire.go
@@ -19,7 +19,7 @@
 	defer m.mu.Unlock()
 	var l []*wire.Host
 	for _, d := range m.view.Daemons(m.o.Clock.Now()) {
-		l = append(l, encodeHost(Host{Word: d.Word, Peer: m.addrs[d.Daemon]}))
+		l = append(l, encodeHost(Host{Word: d.Heartbeat, Peer: m.addrs[d.Daemon]}))
 	}
 	return l
 }
@@ -33,7 +33,7 @@
 
 func decodeHost(h *wire.Host) (Host, bool) {
 	a, err := netip.ParseAddrPort(h.GetPeer())
-	return Host{Peer: a, Word: live.Word{
+	return Host{Peer: a, Word: live.Heartbeat{
 		Daemon: ident.Daemon(h.GetName()), Domain: ident.Domain(h.GetDomain()), Region: ident.Region(h.GetRegion()),
 		Incarnation: ident.Incarnation(h.GetIncarnation()), Leaving: h.GetLeaving(),
 	}}, err == nil && h.GetName() != ""
@@ -47,7 +47,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Hear(m.o.Clock.Now(), h.Word)
+	m.view.Observe(m.o.Clock.Now(), h.Word)
 	m.addrs[h.Word.Daemon] = h.Peer
 }
 
