--- a/core/source/model_test.go
+++ b/core/source/model_test.go
@@ -234,14 +234,14 @@
 
 func (m *modelSite) peerAnswer(n *modelNode) {
 	x, p := *n.call, m.byName[n.call.Peer]
-	silent, behind := n.tracker.CoordinatorUnresponsive(), n.tracker.CoordinatorOutdated()
-	news := p.rev[configuration] > n.rev[configuration] || p.rev[control] > n.rev[control]
+	unresponsive, outdated := n.tracker.CoordinatorUnresponsive(), n.tracker.CoordinatorOutdated()
+	changed := p.rev[configuration] > n.rev[configuration] || p.rev[control] > n.rev[control]
 	age := p.age(m.now)
 	switch {
 	case m.now >= x.Deadline:
 		n.tracker.Failed(m.now, m.snap(n), x)
 		n.call, n.resumeAt = nil, n.calledAt.Add(n.tracker.Pause(m.snap(n)))
-	case p.up(m.now) && m.now > n.calledAt && (news || age >= OutdatedAge || m.now >= n.calledAt.Add(x.Wait)):
+	case p.up(m.now) && m.now > n.calledAt && (changed || age >= OutdatedAge || m.now >= n.calledAt.Add(x.Wait)):
 		for t := range modelTables {
 			n.asOf[t] = max(n.asOf[t], m.now.Add(-age))
 			m.learn(n, t, p.rev[t])
@@ -251,7 +251,7 @@
 			n.resumeAt = n.calledAt.Add(n.tracker.Pause(m.snap(n)))
 		}
 	}
-	if silent != n.tracker.CoordinatorUnresponsive() || behind != n.tracker.CoordinatorOutdated() {
+	if unresponsive != n.tracker.CoordinatorUnresponsive() || outdated != n.tracker.CoordinatorOutdated() {
 		n.pollNow()
 	}
 }
--- a/core/source/source.go
+++ b/core/source/source.go
@@ -15,7 +15,7 @@
 
 const (
 	// MaxPollWait is the longest time for which the store holds a long poll without changes. A silently lost connection
-	// can't be detected meanwhile, so the copy ages. The store receives one call for each table and wait.
+	// can't be detected meanwhile, so the copy ages. The polls cost the store about one call a second for each table.
 	MaxPollWait = 800 * time.Millisecond
 
 	// ResponseTimeout is how long an answer may take beyond the poll's wait before another source is asked.
@@ -41,7 +41,7 @@
 	answerTTL = 1500 * time.Millisecond
 
 	// outageVoters is how many voters must report an outdated copy for a daemon to assume a store outage. During an outage
-	// a daemon polls the store at outageAgeFactor times the usual age, because polls of hundreds of daemons add load.
+	// a daemon polls the store at outageAgeFactor times the usual age, as polls of hundreds of daemons don't end the outage.
 	outageVoters    = 3
 	outageAgeFactor = 6
 
@@ -49,7 +49,7 @@
 	retryPause   = 50 * time.Millisecond
 	maxDoublings = 4
 
-	// anyDaemonEvery is how often, in a run of failed calls, a call goes to any daemon instead of a voter.
+	// anyDaemonEvery is the number of failed calls in a row of which one goes to any daemon instead of a voter.
 	anyDaemonEvery = 4
 )
 
--- a/core/topk/topk.go
+++ b/core/topk/topk.go
@@ -1,4 +1,4 @@
-// Package topk finds the most frequent keys or shards of a stream in fixed memory.
+// Package topk finds the most frequent items of a stream, such as keys or shards, in fixed memory.
 package topk
 
 import (
@@ -10,21 +10,21 @@
 	"heatherrouter/core/mono"
 )
 
-// Item is one frequent key with its rate. The true rate lies between PerSecond-Error and PerSecond.
+// Item is a frequent key with its rate. The true rate is between PerSecond-Error and PerSecond.
 type Item[K comparable] struct {
 	Key       K
 	PerSecond float64
 	Error     float64
 }
 
-// Sketch is the space-saving algorithm with counts that decay: a new key takes the place of the smallest
-// count and inherits it, so a key above 1/size of the stream is always among those kept.
+// Sketch implements the space-saving algorithm with exponentially decaying counts. A new key replaces the key with the
+// smallest count and inherits that count, so a key above 1/size of the stream is always kept.
 type Sketch[K comparable] struct {
-	half   time.Duration // half-life of a count
-	start  mono.Time     // when the weight of an occurrence was 1
-	size   int
-	index  map[K]int
-	counts []count[K]
+	halfLife time.Duration
+	epoch    mono.Time // when an occurrence had the weight 1
+	size     int
+	index    map[K]int
+	counts   []count[K]
 }
 
 type count[K comparable] struct {
@@ -33,18 +33,19 @@
 	error float64
 }
 
-// rescaleAfter bounds the weights, which double with each half-life.
-const rescaleAfter = 64
+// maxHalfLives is the number of half-lives after which counts are rescaled. It bounds the weights,
+// which double with each half-life.
+const maxHalfLives = 64
 
-// New returns a sketch of the size; half is after how long an occurrence counts half.
-func New[K comparable](now mono.Time, size int, half time.Duration) *Sketch[K] {
-	return &Sketch[K]{half: half, start: now, size: max(size, 1), index: make(map[K]int, size)}
+// New returns an empty sketch of up to size keys. The weight of an occurrence halves with each halfLife.
+func New[K comparable](now mono.Time, size int, halfLife time.Duration) *Sketch[K] {
+	return &Sketch[K]{halfLife: halfLife, epoch: now, size: max(size, 1), index: make(map[K]int, size)}
 }
 
-// Add counts one occurrence.
+// Add counts one occurrence of a key.
 //
-// Older counts don't shrink, newer occurrences weigh more instead, which has the same effect on all ratios
-// and spares a walk over all counts each time.
+// Newer occurrences get a higher weight instead of a decay of all older counts. The ratios are the same, and Add need not
+// visit all counts.
 func (s *Sketch[K]) Add(now mono.Time, k K) {
 	w := s.weight(now)
 	if i, ok := s.index[k]; ok {
@@ -63,11 +64,11 @@
 	*c = count[K]{key: k, n: c.n + w, error: c.n}
 }
 
-// Top returns up to n keys, the most frequent first.
+// Top returns up to n keys, in descending order of their rates.
 func (s *Sketch[K]) Top(now mono.Time, n int) []Item[K] {
 	w := s.weight(now)
-	// A steady rate r settles at a decayed count of r times the mean life of an occurrence.
-	perSecond := math.Ln2 / s.half.Seconds() / w
+	// At a constant rate r, the decayed count converges to r times the mean lifetime of an occurrence.
+	perSecond := math.Ln2 / s.halfLife.Seconds() / w
 	l := make([]Item[K], 0, len(s.counts))
 	for i := range s.counts {
 		c := &s.counts[i]
@@ -88,8 +89,8 @@
 }
 
 func (s *Sketch[K]) weight(now mono.Time) float64 {
-	x := now.Sub(s.start).Seconds() / s.half.Seconds()
-	if x <= rescaleAfter {
+	x := now.Sub(s.epoch).Seconds() / s.halfLife.Seconds()
+	if x <= maxHalfLives {
 		return math.Exp2(x)
 	}
 	f := math.Exp2(-x)
@@ -97,6 +98,6 @@
 		s.counts[i].n *= f
 		s.counts[i].error *= f
 	}
-	s.start = now
+	s.epoch = now
 	return 1
 }
--- a/core/topk/topk_test.go
+++ b/core/topk/topk_test.go
@@ -15,7 +15,7 @@
 	s := New[string](0, 8, 2*time.Second)
 	now := mono.Time(0)
 	r := rand.New(rand.NewPCG(1, 2))
-	for i := range 30000 { // 1000 a second for 30 s: half of it one key, a tenth another, the rest each once
+	for i := range 30000 { // 1000/s for 30 s: half are one key, a tenth another key, and the others occur once each
 		now = now.Add(time.Millisecond)
 		switch x := r.IntN(10); {
 		case x < 5:
@@ -37,7 +37,7 @@
 	require.InDelta(t, top[0].PerSecond/1024, later[0].PerSecond, 0.1, "ten half-lives later")
 }
 
-// The key that is hot now overtakes the one that was hot for long, also across rescaling of the weights.
+// Guards against a formerly hot key that stays ahead of the current one, also after the counts are rescaled.
 func TestHotKeyMoves(t *testing.T) {
 	s := New[int](0, 4, time.Second)
 	now := mono.Time(0)
@@ -55,7 +55,7 @@
 	require.InDelta(t, 1000*0.125, top[1].PerSecond, 20)
 }
 
-// Space-saving never counts a key low, and its error bound holds; decay keeps both.
+// Guards against underestimated counts and wrong error bounds under decay.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New[int](0, 4, time.Second)
