--- a/io/rowcfg/rowcfg.go
+++ b/io/rowcfg/rowcfg.go
@@ -1,4 +1,4 @@
-// Package rowcfg turns the rows of the document "config" into the model of core/config and back.
+// Package rowcfg converts between the rows of the document "config" and the types of core/config.
 package rowcfg
 
 import (
@@ -14,10 +14,10 @@
 	"heatherrouter/io/wire"
 )
 
-// Read returns the configuration that the document holds.
+// Read returns the configuration that the document holds, and a finding for each fault in its rows.
 //
-// A row that can't be read is left out with a finding instead of failing the whole: one bad row would
-// otherwise take the routes of all services away.
+// A row that can't be decoded is reported as a finding and doesn't fail the call: one malformed row would otherwise remove the
+// routes of all services.
 func Read(d *docs.Doc) (*config.Config, check.Findings) {
 	c := config.New(d.Rev)
 	var f check.Findings
@@ -54,7 +54,7 @@
 func readDrain(c *config.Config, f *check.Findings, r ident.Row, t config.Target, b []byte) {
 	d, err := DecodeDrain(b)
 	if err != nil {
-		// The row's name says what to drain; who asked is only for people to read.
+		// The name of the row identifies the target, so the drain applies all the same: its body is only for display.
 		f.Addf(check.Place{Key: string(r)}, "can't be decoded: %v", err)
 	}
 	switch t := t.(type) {
@@ -67,13 +67,13 @@
 	}
 }
 
-// EncodeService returns the body of a service's row.
+// EncodeService returns the body of the row for a service's file.
 func EncodeService(path string, file []byte) ([]byte, error) {
 	b, err := marshal(&wire.ServiceRow{Path: path, File: file})
 	return b, trace.Wrap(err)
 }
 
-// DecodeService returns the path and the file that a service's row holds.
+// DecodeService returns the path and the content of the file that the body of a service's row holds.
 func DecodeService(b []byte) (path string, file []byte, err error) {
 	var m wire.ServiceRow
 	if err := proto.Unmarshal(b, &m); err != nil {
@@ -82,13 +82,13 @@
 	return m.GetPath(), m.GetFile(), nil
 }
 
-// EncodeDrain returns the body of a drain's row.
+// EncodeDrain returns the body of the row for a drain.
 func EncodeDrain(d config.Drain) ([]byte, error) {
 	b, err := marshal(&wire.DrainRow{By: d.By, SinceUnixMs: d.Since.UnixMilli()})
 	return b, trace.Wrap(err)
 }
 
-// DecodeDrain returns the drain that a row holds.
+// DecodeDrain returns the drain that the body of a row holds.
 func DecodeDrain(b []byte) (config.Drain, error) {
 	var m wire.DrainRow
 	if err := proto.Unmarshal(b, &m); err != nil {
@@ -97,7 +97,7 @@
 	return config.Drain{By: m.GetBy(), Since: time.UnixMilli(m.GetSinceUnixMs()).UTC()}, nil
 }
 
-// marshal is deterministic, so that an unchanged file gives an unchanged row.
+// marshal encodes deterministically, so that an unchanged file gives an unchanged row.
 func marshal(m proto.Message) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
