--- a/io/delta/delta.go
+++ b/io/delta/delta.go
@@ -1,4 +1,4 @@
-// Package delta packs values that change little from one version to the next, for receivers that have an earlier one.
+// Package delta compresses values that change little between versions, for receivers that have an earlier version.
 package delta
 
 import (
@@ -6,14 +6,14 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// dictionary is the id that both ends give to the earlier version; the format wants one.
+// dictionary is the zstd dictionary ID that both sides use for the earlier version; the format requires one.
 const dictionary = 1
 
-// MaxValue bounds an unpacked value in bytes. Configurations with 1,500 routes have 0.3 MB.
+// MaxValue is the maximum size of an unpacked value in bytes. A configuration with 1,500 routes takes 0.3 MB.
 const MaxValue = 64 << 20
 
-// Pack compresses a value against an earlier version of it; nil for none. A configuration of 1,500 routes packs from
-// 270 KB to 23 KB by itself, and to 114 B against one that differs in a timeout (TestPackConfiguration).
+// Pack compresses a value against base, an earlier version of it; nil for none. A configuration of 1,500 routes shrinks from
+// 270 KB to 23 KB without a base, and to 114 B against one that differs in a timeout (TestPackConfiguration).
 func Pack(base, value []byte) ([]byte, error) {
 	o := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
@@ -29,7 +29,7 @@
 	return e.EncodeAll(value, nil), nil
 }
 
-// Unpack is the reverse of Pack. With another base than the one packed against it fails by the checksum.
+// Unpack reverses Pack. With a base other than the one that was packed against, the checksum makes it fail.
 func Unpack(base, packed []byte) ([]byte, error) {
 	o := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxValue),
--- a/io/delta/delta_test.go
+++ b/io/delta/delta_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// configuration returns one with so many routes, the third of which has the timeout.
+// configuration returns a configuration with the number of routes, of which the one at index 3 has the timeout in ms.
 func configuration(routes, timeout int) []byte {
 	var b strings.Builder
 	r := rand.New(rand.NewPCG(1, 1))
@@ -24,15 +24,15 @@
 	return []byte(b.String())
 }
 
-// A storm of large configurations fills the coordinator's link, and daemons learn of each one seconds late: 290 KB to
-// each of 86 daemons, three times a second, are 600 Mbit/s.
+// Guards against frequent large configurations that fill the coordinator's link, so that daemons receive each one seconds
+// late: 290 KB to each of 86 daemons, three times a second, is 600 Mbit/s.
 func TestPackConfiguration(t *testing.T) {
 	a, b := configuration(1500, 2000), configuration(1500, 2500)
 	alone, err := Pack(nil, b)
 	require.NoError(t, err)
 	against, err := Pack(a, b)
 	require.NoError(t, err)
-	t.Logf("%d bytes, alone %d, against the last version %d", len(b), len(alone), len(against))
+	t.Logf("%d bytes, packed without a base %d, against the previous version %d", len(b), len(alone), len(against))
 	require.Less(t, len(alone), len(b)/4)
 	require.Less(t, len(against), 500)
 	for _, x := range []struct{ base, packed []byte }{{nil, alone}, {a, against}} {
@@ -42,9 +42,9 @@
 	}
 }
 
-// A daemon takes over a configuration that nobody wrote: its copy is another than the sender believes, and the patch
-// fits it as well. The checksum refuses it.
-func TestUnpackAgainstAnother(t *testing.T) {
+// Guards against a configuration that no operator wrote: the daemon's copy is not the one that the sender assumes, and the
+// difference decodes against it as well. The checksum must reject it.
+func TestUnpackAgainstOtherBase(t *testing.T) {
 	a, b := configuration(100, 2000), configuration(100, 2500)
 	p, err := Pack(a, b)
 	require.NoError(t, err)
@@ -67,7 +67,7 @@
 	require.NoError(f, err)
 	f.Add([]byte("a base"), p)
 	f.Fuzz(func(_ *testing.T, base, packed []byte) {
-		_, _ = Unpack(base, packed) // whatever comes, it returns
+		_, _ = Unpack(base, packed) // must return for any input
 	})
 }
 
