--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// feedWait is how long the store holds a feed back without news.
-	feedWait = source.FeedWait
+	// maxPollWait is how long the store holds a request for changes open while there are none.
+	maxPollWait = source.FeedWait
 
-	// controlWait is the same for the control table, which changes next to never but by its reader's own hand.
+	// controlWait is the same for the control table, which rarely changes except by the coordinator that reads it.
 	controlWait = 5 * time.Second
 
-	// startGap is between the first two looks at the control table at the first start of a site, whose hosts start within
-	// 0.3 s of each other, and lateGap between later ones. Whoever knows of no coordinator by startLimit reads all tables.
-	startGap   = 800 * time.Millisecond
-	lateGap    = 1500 * time.Millisecond
-	startLimit = 3 * time.Second
+	// startReadInterval separates the first two reads of the control table at the first start of a site, whose hosts start
+	// within 0.3 s of each other; lateReadInterval separates later ones. A daemon without a coordinator after startLimit
+	// reads all tables.
+	startReadInterval = 800 * time.Millisecond
+	lateReadInterval  = 1500 * time.Millisecond
+	startLimit        = 3 * time.Second
 
-	// newsPause follows an answer with news: servers that start or leave by dozens would else cost a call each. The
-	// coordinator's own transactions come back as news of the control table.
-	newsPause        = 100 * time.Millisecond
-	controlNewsPause = 250 * time.Millisecond
+	// changesPause follows an answer with changes of servers: without it, servers that start or leave by dozens cost one call
+	// each. controlChangesPause does the same for the coordinator, whose own transactions come back as changes.
+	changesPause        = 100 * time.Millisecond
+	controlChangesPause = 250 * time.Millisecond
 
-	// Pauses after a failed call, doubled each time: calls are paid for, refused ones too.
+	// Bounds of the pause after a failed call, which doubles each time: the store charges for refused calls too.
 	minPause = 50 * time.Millisecond
 	maxPause = 800 * time.Millisecond
 
-	followerPause = 1600 * time.Millisecond // in place of maxPause, of daemons that aren't the coordinator
+	followerPause = 1600 * time.Millisecond // replaces maxPause for daemons that aren't the coordinator
 )
 
-// ask follows one table in the store for as long as this daemon leads, or its copy is stale.
-func (f *Feed) ask(c context.Context, t store.Table) error {
+// followStore follows one table in the store while this daemon is the coordinator or its copy is stale.
+func (f *Feed) followStore(c context.Context, t store.Table) error {
 	pause := minPause
 	for c.Err() == nil {
 		changed := f.Changed()
-		if wait := f.askIn(t); wait > 0 {
+		if wait := f.readDelay(t); wait > 0 {
 			awaitChange(c, wait, changed)
 			continue
 		}
-		if err := f.askOnce(c, t); err == nil {
+		if err := f.readStore(c, t); err == nil {
 			pause = minPause
 			continue
 		} else if c.Err() == nil {
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// askIn returns how long the store needn't be asked.
-func (f *Feed) askIn(t store.Table) time.Duration {
+// readDelay returns the time until the table has to be read from the store; zero or less means now.
+func (f *Feed) readDelay(t store.Table) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.o.Clock.Now()
@@ -69,55 +70,56 @@
 		return 0
 	}
 	if f.snapshot.Coordinator.Term == 0 && now.Sub(f.started) < startLimit {
-		return f.askAtStart(t, now)
+		return f.readDelayAtStart(t, now)
 	}
-	if !f.read[t] {
-		return f.firstReadIn(now)
+	if !f.loaded[t] {
+		return f.firstReadDelay(now)
 	}
-	c := source.Copy{AsOf: f.asOf[t], Asked: f.asked[t], Control: t == store.Control}
+	c := source.Copy{AsOf: f.asOf[t], Asked: f.requested[t], Control: t == store.Control}
 	return f.sources.StoreAt(now, f.snapshot, c).Sub(now)
 }
 
-// askAtStart returns how long the store needn't be asked by a daemon of a site that has had no coordinator yet. Each reads
-// the control table at once, and again when most have written their rows. Then all know who comes first as a candidate: it
-// reads the rest, and the others get it from there.
-func (f *Feed) askAtStart(t store.Table, now mono.Time) time.Duration {
+// readDelayAtStart is readDelay in a site that has had no coordinator yet. Each daemon reads the control table at once, and
+// again when most have written their rows. All daemons then agree on the first candidate: it reads the other tables, and the
+// others get them from it. The caller must hold f.mu.
+func (f *Feed) readDelayAtStart(t store.Table, now mono.Time) time.Duration {
 	switch {
-	case t == store.Control && !f.read[t]:
+	case t == store.Control && !f.loaded[t]:
 		return 0
-	case t == store.Control && f.askedTwice():
-		return lateGap - now.Sub(f.asked[t])
+	case t == store.Control && f.rereadAtStart():
+		return lateReadInterval - now.Sub(f.requested[t])
 	case t == store.Control:
-		return startGap - now.Sub(f.asked[t])
-	case f.askedTwice() && elect.First(f.snapshot) == f.o.Self:
-		return 0 // it is about to become the coordinator, and waits for a configuration
+		return startReadInterval - now.Sub(f.requested[t])
+	case f.rereadAtStart() && elect.First(f.snapshot) == f.o.Self:
+		return 0 // it is about to become the coordinator and needs a configuration first
 	default:
 		return startLimit - now.Sub(f.started)
 	}
 }
 
-// firstReadIn returns how long a table that was never read needn't be; the caller holds the lock. At the first start of a
-// site the coordinator has read all tables by the time that it is known: hundreds of daemons get them from it.
-func (f *Feed) firstReadIn(now mono.Time) time.Duration {
+// firstReadDelay is readDelay for a table that was never read. The caller must hold f.mu. At the first start of a site the
+// coordinator has read all tables before other daemons know it, so that hundreds of daemons can get them from it.
+func (f *Feed) firstReadDelay(now mono.Time) time.Duration {
 	if !f.firstStart || f.sources.Silent() {
 		return 0
 	}
-	return min(f.heard.Add(source.AnswerTime), f.started.Add(startLimit)).Sub(now)
+	return min(f.coordinatorSeen.Add(source.AnswerTime), f.started.Add(startLimit)).Sub(now)
 }
 
-// askedTwice reports whether the control table was read when most daemons had written their rows; the caller holds the lock.
-func (f *Feed) askedTwice() bool {
-	return f.read[store.Control] && f.asked[store.Control].Sub(f.started) >= startGap
+// rereadAtStart reports whether the control table was read after most daemons had written their rows. The caller must hold
+// f.mu.
+func (f *Feed) rereadAtStart() bool {
+	return f.loaded[store.Control] && f.requested[store.Control].Sub(f.started) >= startReadInterval
 }
 
-// votes reports whether this daemon is one of the voters, as all are where the coordinator's row names none; the caller
-// holds the lock.
-func (f *Feed) votes() bool {
+// isVoter reports whether this daemon is one of the voters; all are if the coordinator's row names none. The caller must
+// hold f.mu.
+func (f *Feed) isVoter() bool {
 	return slices.Contains(voters(f.snapshot), f.o.Self)
 }
 
-// longestPause returns the longest pause between two failed calls. The coordinator is the first to learn that the store is
-// back; the others pause for longer.
+// longestPause returns the longest pause between two failed calls. It is longer for daemons other than the coordinator,
+// which detects first that the store is available again.
 func (f *Feed) longestPause() time.Duration {
 	if f.Leads() {
 		return maxPause
@@ -125,83 +127,83 @@
 	return followerPause
 }
 
-// askOnce reads the table whole the first time and after the store has forgotten its history, else what changed.
-func (f *Feed) askOnce(c context.Context, t store.Table) error {
+// readStore reads the full table the first time and after the store has truncated its history, else only the changes.
+func (f *Feed) readStore(c context.Context, t store.Table) error {
 	f.mu.Lock()
-	read, rev := f.read[t], f.tables[t].rev
-	f.asked[t] = f.o.Clock.Now()
-	if t == store.Orders && read && !f.leads() && !f.votes() {
+	loaded, rev := f.loaded[t], f.tables[t].rev
+	f.requested[t] = f.o.Clock.Now()
+	if t == store.Orders && loaded && !f.leads() && !f.isVoter() {
 		f.o.Log.Info().Dur("copy-age", f.age(t)).Str("coordinator", string(f.snapshot.Coordinator.Daemon)).Msg("store asked in place of peers")
 	}
 	f.mu.Unlock()
 	asked, boot := f.o.Clock.Now(), f.o.Clock.Boot()
-	if !read {
-		return f.list(c, t, asked)
+	if !loaded {
+		return f.readFull(c, t, asked)
 	}
-	wait := f.holdTime(t)
+	wait := f.pollWait(t)
 	p, err := f.o.Store.Follow(c, t, rev, wait)
 	defer func() { f.pauseAfter(c, t, len(p.Rows)) }()
-	if errors.Is(err, store.ErrHistoryGone) {
+	if errors.Is(err, store.ErrHistoryTruncated) {
 		f.o.Log.Warn().Str("table", t.String()).Uint64("rev", uint64(rev)).Msg("history forgotten by the store, table read whole")
-		return f.list(c, t, asked)
+		return f.readFull(c, t, asked)
 	}
 	if err != nil {
 		return err
 	}
-	// While a feed is held back its copy is the newest; an answer without news says so for the time it was made, which is
-	// long ago where this process stood still before it read the answer.
-	f.applied(t, p, false, min(f.o.Clock.Now(), asked.Add(wait)), fromStore)
+	// While the store holds a request open, the copy is current. An answer without changes confirms that only up to the time
+	// it was made, which may be long ago if this process was suspended before it read the answer.
+	f.applyPage(t, p, false, min(f.o.Clock.Now(), asked.Add(wait)), fromStore)
 	if t == store.Control {
-		f.Confirm(boot)
-		f.wakeAtStart()
+		f.ConfirmControl(boot)
+		f.notifyAtStart()
 	}
 	return nil
 }
 
-// wakeAtStart tells the other tables' duties that the control table was read again, with or without news.
-func (f *Feed) wakeAtStart() {
+// notifyAtStart notifies the readers of the other tables that the control table was read again, even without changes.
+func (f *Feed) notifyAtStart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.snapshot.Coordinator.Term == 0 {
-		f.wake()
+		f.notifyChanged()
 	}
 }
 
-// pauseAfter waits after an answer with so many rows.
+// pauseAfter pauses after an answer with the given number of rows.
 func (f *Feed) pauseAfter(c context.Context, t store.Table, rows int) {
 	switch {
 	case rows == 0:
 	case t == store.Servers:
-		clock.Sleep(c, newsPause)
+		clock.Sleep(c, changesPause)
 	case t == store.Control && f.Leads():
-		clock.Sleep(c, controlNewsPause)
+		clock.Sleep(c, controlChangesPause)
 	}
 }
 
-// staleAfter returns the age of the copy from which a daemon asks the store itself; the caller holds the lock.
+// staleAfter returns the age of the copy from which a daemon reads the store itself. The caller must hold f.mu.
 func (f *Feed) staleAfter() time.Duration {
 	return source.Stale(f.snapshot, f.o.Self)
 }
 
-// holdTime returns how long the store may hold an answer for the table back.
-func (f *Feed) holdTime(t store.Table) time.Duration {
+// pollWait returns how long the store may hold a request for changes of the table open.
+func (f *Feed) pollWait(t store.Table) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case t != store.Control:
 		return source.Hold(f.age(t))
 	case f.snapshot.Coordinator.Term == 0 || f.age(t) >= source.OldCopy:
-		return 0 // the answer tells at once whether the copy is the newest
+		return 0 // an immediate answer shows whether the copy is current
 	default:
 		return controlWait
 	}
 }
 
-func (f *Feed) list(c context.Context, t store.Table, asked mono.Time) error {
+func (f *Feed) readFull(c context.Context, t store.Table, asked mono.Time) error {
 	p, err := f.o.Store.List(c, t)
 	if err != nil {
 		return err
 	}
-	f.applied(t, p, true, asked, fromStore)
+	f.applyPage(t, p, true, asked, fromStore)
 	return nil
 }
--- a/io/feed/draft.go
+++ b/io/feed/draft.go
@@ -31,61 +31,61 @@
 // KeysRow returns the key of the row with the assignment of a service's keys.
 func KeysRow(s ident.Service) string { return keysPrefix + string(s) }
 
-// CrashRow returns the key of the row with the crashes under a request.
+// CrashRow returns the key of the row with the crash count of a request.
 func CrashRow(f crash.Fingerprint) string { return crashPrefix + f.String() }
 
-// draft is a snapshot in the making. A row that can't be read changes nothing and is logged, once for each time that
-// it is written.
-type draft struct {
+// snapshotBuilder builds the next snapshot from changed rows. A row that can't be decoded is logged once for each time that
+// it is written. It leaves the snapshot as it was, except that a server with such a row is removed.
+type snapshotBuilder struct {
 	s    *site.Snapshot
 	o    Options
-	from origin
+	from rowSource
 
-	ready, draining, gone []string // servers whose rows were news
+	ready, draining, gone []string // servers whose rows changed
 }
 
-// origin tells where rows came from.
-type origin struct {
-	from string        // a peer, fromStore or fromSelf
-	age  time.Duration // of the table's copy before they came
+// rowSource describes where rows came from.
+type rowSource struct {
+	name string        // name of a peer, fromStore or fromSelf
+	age  time.Duration // age of the table's copy before the rows arrived
 }
 
-// Bounds of the servers that one log line names. Hundreds of them start together; one that takes no more work explains why
-// a request was not sent there.
+// Limits on the servers listed in one log line. Hundreds of servers start together, so few of these are listed. A draining or
+// removed server explains why a request was not sent there, so more of these are listed.
 const (
-	maxReadyNamed = 8
-	maxLeftNamed  = 64
+	maxReadyLogged   = 8
+	maxLeavingLogged = 64
 )
 
-// logServers writes one line for all servers whose rows were news.
-func (d *draft) logServers(rev store.Rev) {
+// logServers writes one line for all servers whose rows changed.
+func (d *snapshotBuilder) logServers(rev store.Rev) {
 	if len(d.ready)+len(d.draining)+len(d.gone) == 0 {
 		return
 	}
 	first := func(l []string, n int) []string { return l[:min(len(l), n)] }
 	d.o.Log.Info().Uint64("rev", uint64(rev)).Int("known", len(d.s.Servers)).
-		Int("ready", len(d.ready)).Strs("ready-servers", first(d.ready, maxReadyNamed)).
-		Int("draining", len(d.draining)).Strs("draining-servers", first(d.draining, maxLeftNamed)).
-		Int("gone", len(d.gone)).Strs("gone-servers", first(d.gone, maxLeftNamed)).Msg("servers changed")
+		Int("ready", len(d.ready)).Strs("ready-servers", first(d.ready, maxReadyLogged)).
+		Int("draining", len(d.draining)).Strs("draining-servers", first(d.draining, maxLeavingLogged)).
+		Int("gone", len(d.gone)).Strs("gone-servers", first(d.gone, maxLeavingLogged)).Msg("servers changed")
 }
 
-func newDraft(s *site.Snapshot, o Options, from origin) *draft {
-	return &draft{o: o, from: from, s: &site.Snapshot{
+func newSnapshotBuilder(s *site.Snapshot, o Options, from rowSource) *snapshotBuilder {
+	return &snapshotBuilder{o: o, from: from, s: &site.Snapshot{
 		Config: s.Config, Servers: maps.Clone(s.Servers), Evacuated: maps.Clone(s.Evacuated),
 		Daemons: maps.Clone(s.Daemons), Coordinator: s.Coordinator, Voters: s.Voters,
 		Crashes: s.Crashes,
 	}}
 }
 
-func (d *draft) take(t store.Table, r store.Row) {
+func (d *snapshotBuilder) applyRow(t store.Table, r store.Row) {
 	var err error
 	switch t {
 	case store.Orders:
-		err = d.order(r)
+		err = d.applyOrder(r)
 	case store.Servers:
-		err = d.server(r)
+		err = d.applyServer(r)
 	case store.Control:
-		err = d.control(r)
+		err = d.applyControl(r)
 	}
 	if err != nil {
 		d.o.Log.Warn().Err(err).Str("table", t.String()).Str("row", r.Key).Uint64("rev", uint64(r.Rev)).
@@ -93,9 +93,9 @@
 	}
 }
 
-func (d *draft) order(r store.Row) error {
+func (d *snapshotBuilder) applyOrder(r store.Row) error {
 	if r.Gone {
-		return d.orderGone(r)
+		return d.applyOrderDeletion(r)
 	}
 	o, err := d.o.Decoder.Order(r.Key, r.Value)
 	if err != nil {
@@ -104,11 +104,12 @@
 	switch x := o.(type) {
 	case Configure:
 		if d.s.Config != nil && x.Config.Version <= d.s.Config.Version {
-			return trace.BadParameter("configuration %d is not newer than %d", x.Config.Version, d.s.Config.Version)
+			return trace.BadParameter("configuration version %d is not newer than version %d in force",
+				x.Config.Version, d.s.Config.Version)
 		}
 		d.s.Config = x.Config
 		d.o.Log.Info().Uint64("version", uint64(x.Config.Version)).Uint64("rev", uint64(r.Rev)).
-			Int("routes", x.Config.Routes()).Str("from", d.from.from).Dur("copy-age", d.from.age).Msg("configuration in force")
+			Int("routes", x.Config.Routes()).Str("from", d.from.name).Dur("copy-age", d.from.age).Msg("configuration in force")
 	case Evacuate:
 		d.s.Evacuated[x.Domain] = true
 		d.o.Log.Info().Str("domain", string(x.Domain)).Uint64("rev", uint64(r.Rev)).Msg("domain evacuated")
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// orderGone ends an evacuation. A configuration stays in force when its row is dropped: there is nothing to go back to.
-func (d *draft) orderGone(r store.Row) error {
+// applyOrderDeletion ends an evacuation. A configuration stays in force when its row is deleted: no previous one is kept.
+func (d *snapshotBuilder) applyOrderDeletion(r store.Row) error {
 	o, err := d.o.Decoder.Order(r.Key, nil)
 	if x, ok := o.(Evacuate); ok {
 		delete(d.s.Evacuated, x.Domain)
@@ -127,7 +128,7 @@
 	return err
 }
 
-func (d *draft) server(r store.Row) error {
+func (d *snapshotBuilder) applyServer(r store.Row) error {
 	id := ident.Server(r.Key)
 	if r.Gone {
 		delete(d.s.Servers, id)
@@ -146,19 +147,19 @@
 		d.ready = append(d.ready, r.Key)
 	}
 	d.o.Log.Debug().Str("server", r.Key).Str("service", string(x.Service)).Bool("draining", x.Draining).
-		Int64("born", x.Born).Uint64("rev", uint64(r.Rev)).Msg("server known")
+		Int64("born", x.Born).Uint64("rev", uint64(r.Rev)).Msg("server row applied")
 	return nil
 }
 
-func (d *draft) control(r store.Row) error {
+func (d *snapshotBuilder) applyControl(r store.Row) error {
 	if n, ok := strings.CutPrefix(r.Key, daemonPrefix); ok {
-		return d.daemon(ident.Daemon(n), r)
+		return d.applyDaemon(ident.Daemon(n), r)
 	}
 	if n, ok := strings.CutPrefix(r.Key, crashPrefix); ok {
-		return d.crash(n, r)
+		return d.applyCrash(n, r)
 	}
 	if r.Key != CoordinatorRow {
-		return nil // the coordinator reads the rows of keys itself
+		return nil // the coordinator reads the key assignments itself
 	}
 	x := &wire.CoordinatorRow{}
 	if err := proto.Unmarshal(r.Value, x); err != nil {
@@ -177,11 +178,11 @@
 	return nil
 }
 
-// crash takes in the record of a request under which servers crashed.
-func (d *draft) crash(name string, r store.Row) error {
+// applyCrash applies the crash count of a request that crashed servers.
+func (d *snapshotBuilder) applyCrash(name string, r store.Row) error {
 	f, ok := crash.ParseFingerprint(name)
 	if !ok {
-		return trace.BadParameter("%q is no fingerprint of a request", name)
+		return trace.BadParameter("crash row: %q is not a fingerprint of a request", name)
 	}
 	x := &wire.CrashRow{}
 	if err := proto.Unmarshal(r.Value, x); err != nil {
@@ -204,7 +205,7 @@
 	return nil
 }
 
-func (d *draft) daemon(n ident.Daemon, r store.Row) error {
+func (d *snapshotBuilder) applyDaemon(n ident.Daemon, r store.Row) error {
 	if r.Gone {
 		delete(d.s.Daemons, n)
 		return nil
@@ -234,7 +235,7 @@
 	return w
 }
 
-// Holders of a range that are no servers.
+// Encoded holders of a range: none, lost, or an index into the list of servers from firstHolder on.
 const (
 	holderNone  = 0
 	holderLost  = 1
@@ -244,21 +245,21 @@
 func encodeService(s ident.Service, l []hold.Hold) *wire.ServiceHolds {
 	w := &wire.ServiceHolds{Service: string(s)}
 	index := map[ident.Server]uint32{"": holderLost}
-	next := 0 // the first key that isn't covered
-	some := false
+	next := 0 // first key that isn't encoded yet
+	hasAdmits := false
 	for _, x := range l {
 		if int(x.First) > next {
 			w.Lasts, w.Holders, w.Admits = append(w.Lasts, uint32(x.First)-1), append(w.Holders, holderNone), append(w.Admits, 0)
 		}
-		w.Admits, some = append(w.Admits, uint32(x.Admit)), some || x.Admit > 0
+		w.Admits, hasAdmits = append(w.Admits, uint32(x.Admit)), hasAdmits || x.Admit > 0
 		if _, ok := index[x.Server]; !ok {
-			index[x.Server] = uint32(firstHolder + len(w.Servers)) //nolint:gosec // of servers
+			index[x.Server] = uint32(firstHolder + len(w.Servers)) //nolint:gosec // bounded by the number of servers
 			w.Servers = append(w.Servers, string(x.Server))
 		}
 		w.Lasts, w.Holders = append(w.Lasts, uint32(x.Last)), append(w.Holders, index[x.Server])
 		next = int(x.Last) + 1
 	}
-	if !some {
+	if !hasAdmits {
 		w.Admits = nil
 	}
 	return w
@@ -277,7 +278,7 @@
 	first := uint32(0)
 	for i, last := range w.GetLasts() {
 		if i >= len(w.GetHolders()) || last >= hold.Keys {
-			break // not as any daemon encodes it
+			break // malformed: no daemon encodes holds like this
 		}
 		x := hold.Hold{Range: hold.Range{First: hold.Key(first), Last: hold.Key(last)}} //nolint:gosec // below hold.Keys
 		first = last + 1
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -1,8 +1,8 @@
-// Package feed keeps a daemon's copy of what lasts in the store, and tells the rest of the daemon of changes.
+// Package feed maintains a daemon's copy of the store's tables and notifies the rest of the daemon of changes.
 //
-// The coordinator follows the store; the others follow the coordinator, so that a site of hundreds of daemons costs the
-// store few calls. A daemon that hears nothing certain for a while asks the store itself, and goes back as soon as some
-// peer knows the newest again.
+// The coordinator follows the store; the other daemons follow the coordinator, so that a site of hundreds of daemons makes
+// few calls to the store. A daemon whose copy can't be confirmed as current for a while reads the store itself. It returns
+// to its peers as soon as one of them has a current copy.
 package feed
 
 import (
@@ -28,7 +28,7 @@
 	"heatherrouter/io/wire"
 )
 
-// Order is what an operator asks for: Configure or Evacuate.
+// Order is a request of an operator: Configure or Evacuate.
 type Order interface {
 	order()
 }
@@ -37,19 +37,19 @@
 	// Configure puts a configuration into force.
 	Configure struct{ Config *site.Config }
 
-	// Evacuate keeps new work away from the backend servers of a failure domain for as long as its row stands.
+	// Evacuate keeps new work away from the backend servers of a failure domain for as long as its row exists.
 	Evacuate struct{ Domain ident.Domain }
 )
 
 func (Configure) order() {}
 func (Evacuate) order()  {}
 
-// Decoder reads rows that others than the daemons write.
+// Decoder decodes the rows that are written by operators and backend servers.
 type Decoder interface {
-	// Order reads a row of an operator.
+	// Order decodes a row that an operator wrote.
 	Order(key string, value []byte) (Order, error)
 
-	// Server reads the row of a backend server.
+	// Server decodes the row of a backend server.
 	Server(key string, value []byte, now mono.Time) (*site.Server, error)
 }
 
@@ -58,73 +58,82 @@
 	Call(c context.Context, to ident.Daemon, m *wire.Call) (*wire.Reply, error)
 }
 
-// Options are what a Feed needs.
+// Options configures a Feed.
 type Options struct {
-	Self    ident.Daemon
-	Life    ident.Incarnation
-	Store   store.Store
-	Decoder Decoder
-	Clock   *clock.Clock
-	Log     *log.Logger
+	Self        ident.Daemon
+	Incarnation ident.Incarnation
+	Store       store.Store
+	Decoder     Decoder
+	Clock       *clock.Clock
+	Log         *log.Logger
 
-	// Measures takes what was measured since it was last asked, for the coordinator.
-	Measures func() ([]*wire.KeyCount, []*wire.ServerWork)
+	// TakeMeasurements returns, for the coordinator, the measurements since its previous call.
+	TakeMeasurements func() ([]*wire.KeyCount, []*wire.ServerWork)
 
-	// Measured hands on what a peer has measured.
-	Measured func([]*wire.KeyCount, []*wire.ServerWork)
+	// OnMeasurements receives the measurements that a peer has sent.
+	OnMeasurements func([]*wire.KeyCount, []*wire.ServerWork)
 
 	// Quota exchanges quota tokens with the coordinator as part of Sync; nil disables this.
 	Quota QuotaClient
 }
 
-// QuotaClient builds the quota asks sent with Sync and receives the answers.
+// QuotaClient builds the quota requests sent with Sync and receives the answers.
 type QuotaClient interface {
 	Ask() *wire.QuotaAsk
 	Answered(asked mono.Time, a *wire.QuotaAsk, r *wire.QuotaAnswer) // r is nil if there was no answer
 }
 
-// Feed is one daemon's copy.
+// Feed is one daemon's copy of the store's tables.
 type Feed struct {
 	o     Options
 	peers Caller
 
-	mu       sync.Mutex
-	tables   [store.Tables]table
-	asOf     [store.Tables]mono.Time // when the copy was last the newest for certain
-	read     [store.Tables]bool      // something was read
-	snapshot *site.Snapshot
-	holds    *hold.Holds
-	held     versions[hold.Stamp] // the same, encoded for peers
-	whole    [store.Tables]bool   // peers are asked for the whole table
-	heard    mono.Time            // of the present coordinator, as one that reaches the store
-	sources  *source.Tracker      // of the copy
-	asked    [store.Tables]mono.Time
-	reached  mono.Time // of the rest of the site: of the coordinator, able or not, or of a daemon of another domain
+	mu              sync.Mutex
+	tables          [store.Tables]table
+	asOf            [store.Tables]mono.Time // when the copy was last confirmed as current
+	loaded          [store.Tables]bool      // the table was read at least once
+	snapshot        *site.Snapshot
+	holds           *hold.Holds
+	encodedHolds    versions[hold.Stamp]    // holds, encoded for peers
+	needsFull       [store.Tables]bool      // the next request to a peer asks for the full table
+	coordinatorSeen mono.Time               // when the coordinator was last known to run and to reach the store
+	sources         *source.Tracker         // selects the peers to synchronise with
+	requested       [store.Tables]mono.Time // when the store was last called
 
-	started    mono.Time
-	firstStart bool      // of the site: there was no coordinator yet when the control table was first read
-	announced  store.Rev // of this life's row; 0 before it is written
+	// siteSeen is the last contact with the rest of the site: with the coordinator, with or without the store, or with a daemon
+	// of another domain.
+	siteSeen mono.Time
 
-	promise elect.Promise // to the coordinator
-	support elect.Support // of others, while this daemon is the coordinator
+	started      mono.Time
+	firstStart   bool      // the site had no coordinator when the control table was first read
+	announcedRev store.Rev // revision of the row of this incarnation; 0 before it is written
 
-	proposed []ident.Daemon // voters that the coordinator's row may name by now, in place of those of the snapshot; nil for none
-	stamp    uint64         // of the coordinator's last answer that was taken for a promise
-	stamped  site.Term      // whose answer that was
+	promise elect.Promise // support promised to the coordinator
+	support elect.Support // support promised by other daemons while this one is the coordinator
 
-	promised time.Duration // with it
+	// proposedVoters are the voters of a transaction whose outcome is not known yet: they may have replaced those of the
+	// snapshot. Nil for none.
+	proposedVoters []ident.Daemon
+
+	promiseStamp uint64    // stamp of the last coordinator answer that renewed the promise
+	promiseTerm  site.Term // term of the coordinator that sent promiseStamp
+
+	promiseDuration time.Duration // duration of the promise made with promiseStamp
 
 	refreshMu   sync.Mutex // serialises Refresh
-	refreshedAt mono.Time  // when the last exchange of Refresh ended
+	refreshedAt mono.Time  // when the last exchange made by Refresh ended
+
+	// controlConfirmed is the time of the store request that last confirmed the control table, on the clock that counts
+	// suspensions.
+	controlConfirmed time.Duration
 
-	confirmed time.Duration // on the clock that counts suspensions: when the store was asked for what the control table has
-	changed   chan struct{} // closed at the next change
+	changed chan struct{} // closed at the next change
 }
 
-// New returns a feed that knows nothing yet.
+// New returns a Feed with an empty copy.
 func New(o Options) *Feed {
 	f := &Feed{
-		o: o, changed: make(chan struct{}), heard: o.Clock.Now(), reached: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{Started: o.Clock.Boot()},
+		o: o, changed: make(chan struct{}), coordinatorSeen: o.Clock.Now(), siteSeen: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{Started: o.Clock.Boot()},
 		sources: source.New(o.Self, rand.IntN),
 		snapshot: (&site.Snapshot{
 			Servers: map[ident.Server]*site.Server{}, Evacuated: map[ident.Domain]bool{}, Daemons: map[ident.Daemon]*site.Daemon{},
@@ -136,23 +145,23 @@
 	return f
 }
 
-// Run starts the duties that keep the copy new: one that asks peers and one a table that asks the store.
+// Run starts the goroutines that keep the copy current: one that polls peers, and one for each table that reads the store.
 func (f *Feed) Run(g *group.Group, peers Caller) {
 	f.peers = peers
-	g.Go(f.follow)
+	g.Go(f.followPeers)
 	for t := range store.Table(store.Tables) {
-		g.Go(func(c context.Context) error { return f.ask(c, t) })
+		g.Go(func(c context.Context) error { return f.followStore(c, t) })
 	}
 }
 
-// Snapshot returns what is known now.
+// Snapshot returns the current state of the copy.
 func (f *Feed) Snapshot() *site.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot
 }
 
-// Holds returns who holds which keys, as far as is known; nil for nothing.
+// Holds returns the latest known holders of keys; nil when none are known.
 func (f *Feed) Holds() *hold.Holds {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +175,7 @@
 	return f.changed
 }
 
-// Leads reports whether this life of the daemon is the coordinator, as far as it knows.
+// Leads reports whether this incarnation of the daemon is the coordinator according to its copy.
 func (f *Feed) Leads() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,17 +184,17 @@
 
 func (f *Feed) leads() bool {
 	c := f.snapshot.Coordinator
-	return c.Daemon == f.o.Self && c.Incarnation == f.o.Life
+	return c.Daemon == f.o.Self && c.Incarnation == f.o.Incarnation
 }
 
-// Ages returns for how long the copy may be behind, and for how long nothing was heard of the coordinator.
+// Ages returns for how long the copy may be out of date, and for how long the coordinator was not known to run.
 func (f *Feed) Ages() (copied, coordinator time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ages()
 }
 
-// CopyAge returns for how long the copy may be behind.
+// CopyAge returns for how long the copy may be out of date.
 func (f *Feed) CopyAge() time.Duration {
 	copied, _ := f.Ages()
 	return copied
@@ -196,16 +205,17 @@
 	copied = now.Sub(min(f.asOf[store.Orders], f.asOf[store.Servers]))
 	switch {
 	case !f.leads():
-		coordinator = now.Sub(f.heard)
+		coordinator = now.Sub(f.coordinatorSeen)
 	case copied > f.staleAfter():
-		// A coordinator that the store doesn't answer is as good as silent: it can neither learn nor move anything.
+		// A coordinator without the store is treated as unreachable: it can neither read changes nor move keys.
 		coordinator = copied
 	}
 	return copied, coordinator
 }
 
-// Cut returns for how long this daemon may have been cut off from the rest of its site: neither the store answered it, nor
-// did it hear that the coordinator runs, nor any daemon of another failure domain. It is zero where there are no others.
+// Cut returns for how long this daemon may have been isolated from the rest of its site. During that time it had no answer
+// from the store, no sign that the coordinator runs, and no contact with a daemon of another failure domain. It is zero in a
+// site of one daemon.
 func (f *Feed) Cut() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -213,52 +223,52 @@
 		return 0
 	}
 	copied, _ := f.ages()
-	return min(copied, f.o.Clock.Now().Sub(f.reached))
+	return min(copied, f.o.Clock.Now().Sub(f.siteSeen))
 }
 
-// reach notes that a peer was heard; the caller holds the lock. Peers of the own domain count only where there is no
-// other: a domain that is cut off from the rest hears itself.
-func (f *Feed) reach(from ident.Daemon) {
+// noteContact records contact with a peer. The caller must hold f.mu. Peers of the same domain count only in a site of one
+// domain, because the daemons of an isolated domain still reach each other.
+func (f *Feed) noteContact(from ident.Daemon) {
 	self, peer := f.snapshot.Daemons[f.o.Self], f.snapshot.Daemons[from]
 	if self == nil || peer == nil {
 		return
 	}
-	if peer.Domain != self.Domain || !f.domains() {
-		f.reached = f.o.Clock.Now()
+	if peer.Domain != self.Domain || !f.multipleDomains() {
+		f.siteSeen = f.o.Clock.Now()
 	}
 }
 
-// domains reports whether the site's daemons are in more than one failure domain.
-func (f *Feed) domains() bool {
-	var one ident.Domain
+// multipleDomains reports whether the site's daemons are in more than one failure domain.
+func (f *Feed) multipleDomains() bool {
+	var first ident.Domain
 	for _, d := range f.snapshot.Daemons {
-		if one != "" && d.Domain != one {
+		if first != "" && d.Domain != first {
 			return true
 		}
-		one = d.Domain
+		first = d.Domain
 	}
 	return false
 }
 
-// Known reports whether all tables have been read once.
-func (f *Feed) Known() bool {
+// Loaded reports whether all tables have been read once and a configuration is in force.
+func (f *Feed) Loaded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.read[store.Orders] && f.read[store.Servers] && f.read[store.Control] && f.snapshot.Config != nil
+	return f.loaded[store.Orders] && f.loaded[store.Servers] && f.loaded[store.Control] && f.snapshot.Config != nil
 }
 
-// Read reports whether the control table has been read.
-func (f *Feed) Read() bool {
+// ControlLoaded reports whether the control table has been read.
+func (f *Feed) ControlLoaded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.read[store.Control]
+	return f.loaded[store.Control]
 }
 
-// Confirmed returns for how long the control table hasn't been the newest for certain, a suspension of the host counted.
-func (f *Feed) Confirmed() time.Duration {
+// ControlAge returns the time since the control table was last confirmed as current, including suspensions of the host.
+func (f *Feed) ControlAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.o.Clock.Boot() - f.confirmed
+	return f.o.Clock.Boot() - f.controlConfirmed
 }
 
 // Supported reports whether a quorum of the voters supports this daemon as the coordinator.
@@ -269,19 +279,19 @@
 }
 
 func (f *Feed) supported() bool {
-	return f.support.HasQuorum(f.o.Clock.Boot(), f.o.Self, voters(f.snapshot), f.proposed)
+	return f.support.HasQuorum(f.o.Clock.Boot(), f.o.Self, voters(f.snapshot), f.proposedVoters)
 }
 
-// HasTurn reports whether this daemon is the coordinator of the term, and has the support that it needs. A term that needs
-// none needs it as soon as a row is proposed that ends this: a successor may count on it already.
+// HasTurn reports whether this daemon is the coordinator of the term and has the quorum that it needs. A term without quorum
+// needs one as soon as a row that ends this is proposed, because a successor may already rely on that row.
 func (f *Feed) HasTurn(t site.Term) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.snapshot.Coordinator
-	return c.Term == t && f.leads() && (c.WithoutQuorum && f.proposed == nil || f.supported())
+	return c.Term == t && f.leads() && (c.WithoutQuorum && f.proposedVoters == nil || f.supported())
 }
 
-// voters returns the daemons whose majority a coordinator needs: all where its row names none.
+// voters returns the daemons whose majority a coordinator needs: all daemons if the coordinator's row names none.
 func voters(s *site.Snapshot) []ident.Daemon {
 	if len(s.Voters) > 0 {
 		return s.Voters
@@ -289,36 +299,37 @@
 	return slices.Collect(maps.Keys(s.Daemons))
 }
 
-// Propose takes in that a transaction is sent that replaces the voters, or with nil that it has surely failed. Until the
-// row is known in a newer revision, the coordinator needs a quorum of both sets.
-func (f *Feed) Propose(voters []ident.Daemon) {
+// ProposeVoters records that a transaction that replaces the voters is being sent; nil records that it certainly failed.
+// Until a newer revision of the coordinator's row is known, the coordinator needs a quorum of both sets of voters.
+func (f *Feed) ProposeVoters(voters []ident.Daemon) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.proposed = voters
+	f.proposedVoters = voters
 }
 
-// Proposed returns the voters that were proposed and that the row may name by now; nil for none.
-func (f *Feed) Proposed() []ident.Daemon {
+// ProposedVoters returns the proposed voters that the coordinator's row may already name; nil for none.
+func (f *Feed) ProposedVoters() []ident.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.proposed
+	return f.proposedVoters
 }
 
-// Announced takes in that this life's row was written.
-func (f *Feed) Announced(r store.Rev) {
+// SetAnnounced records the revision at which the row of this incarnation was written.
+func (f *Feed) SetAnnounced(r store.Rev) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.announced = r
+	f.announcedRev = r
 }
 
-// Silent returns the daemons that haven't been heard of for so long by this one as the coordinator since it began.
+// Silent returns the daemons from which this coordinator has received nothing for the duration d, counted from began at the
+// earliest.
 func (f *Feed) Silent(began, d time.Duration) []ident.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.support.Silent(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
 }
 
-// Withdraw gives the word that this daemon doesn't support coordinators up to the term any more, if it can.
+// Withdraw ends this daemon's support for coordinators up to the term. It reports false when support can't be withdrawn.
 func (f *Feed) Withdraw(t site.Term) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -328,14 +339,14 @@
 	return f.promise.Withdraw(f.o.Clock.Boot(), t)
 }
 
-// Confirm takes in that the store answered for the control table what was asked of it at the time.
-func (f *Feed) Confirm(asked time.Duration) {
+// ConfirmControl records that the store answered a request for the control table that was made at the time asked.
+func (f *Feed) ConfirmControl(asked time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.confirmed = max(f.confirmed, asked)
+	f.controlConfirmed = max(f.controlConfirmed, asked)
 }
 
-// Row returns a row of the control table as it is known here.
+// Row returns a row of this copy of the control table.
 func (f *Feed) Row(key string) (store.Row, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -343,20 +354,20 @@
 	return r, ok
 }
 
-// Learn takes in rows that this daemon has written itself, so that it needn't wait to hear of them.
+// Learn applies rows that this daemon has written itself, without waiting for them to come back from the store.
 func (f *Feed) Learn(rows []store.Row) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := &f.tables[store.Control]
-	// The page claims no more than is known already: what others wrote before it may not have come yet.
-	f.take(store.Control, t.apply(store.Page{Rows: rows, Rev: t.rev}), origin{from: fromSelf})
+	// The page keeps the revision of the copy: earlier writes of other daemons may not have arrived yet.
+	f.updateSnapshot(store.Control, t.apply(store.Page{Rows: rows, Rev: t.rev}), rowSource{name: fromSelf})
 }
 
-// Publish makes known who holds which keys.
+// Publish makes the holders of keys available to this daemon and its peers. It ignores holds that are not newer.
 func (f *Feed) Publish(h *hold.Holds) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(encodeHolds(h))
 	if err != nil {
-		f.o.Log.Error().Err(err).Msg("holders of keys not encoded")
+		f.o.Log.Error().Err(err).Msg("failed to encode holders of keys")
 		return
 	}
 	f.mu.Lock()
@@ -369,67 +380,68 @@
 		return
 	}
 	f.holds = h
-	f.held.add(h.Stamp, encoded)
-	f.wake()
+	f.encodedHolds.add(h.Stamp, encoded)
+	f.notifyChanged()
 }
 
-// wake tells everybody who waits for a change.
-func (f *Feed) wake() {
+// notifyChanged notifies all that wait for a change. The caller must hold f.mu.
+func (f *Feed) notifyChanged() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// fromStore and fromSelf name, in log lines, a source that is no peer.
+// Names of row sources other than peers, for log lines.
 const (
 	fromStore = "store"
 	fromSelf  = "self"
 )
 
-// applied takes in a page of a table that came from a peer or the store; asOf is when the page was the newest for certain.
-func (f *Feed) applied(t store.Table, p store.Page, whole bool, asOf mono.Time, from string) {
+// applyPage applies a page of a table that came from a peer or the store; asOf is when the page was confirmed as current.
+func (f *Feed) applyPage(t store.Table, p store.Page, full bool, asOf mono.Time, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := f.o.Clock.Now().Sub(f.asOf[t])
 	x := &f.tables[t]
-	var news []store.Row
-	if whole {
-		// An older table than the copy says nothing of what couldn't be unpacked.
-		f.whole[t] = f.whole[t] && p.Rev < x.rev
-		news = x.replace(p)
+	var changes []store.Row
+	if full {
+		// A full table that is older than the copy doesn't replace the rows that couldn't be unpacked.
+		f.needsFull[t] = f.needsFull[t] && p.Rev < x.rev
+		changes = x.replace(p)
 	} else {
-		news = x.apply(p)
+		changes = x.apply(p)
 	}
 	f.asOf[t] = max(f.asOf[t], asOf)
-	first := !f.read[t]
-	f.read[t] = true
-	if !f.take(t, news, origin{from: from, age: age}) && first {
-		f.wake()
+	first := !f.loaded[t]
+	f.loaded[t] = true
+	if !f.updateSnapshot(t, changes, rowSource{name: from, age: age}) && first {
+		f.notifyChanged()
 	}
 	if first && t == store.Control {
 		f.firstStart = f.snapshot.Coordinator.Term == 0
 	}
 }
 
-// take builds the next snapshot from rows that are news; it reports whether there is one.
-func (f *Feed) take(t store.Table, news []store.Row, from origin) bool {
-	if len(news) == 0 {
+// updateSnapshot builds the next snapshot from changed rows. It reports whether there were any. The caller must hold f.mu.
+func (f *Feed) updateSnapshot(t store.Table, changes []store.Row, from rowSource) bool {
+	if len(changes) == 0 {
 		return false
 	}
-	d := newDraft(f.snapshot, f.o, from)
-	for _, r := range news {
-		d.take(t, r)
+	d := newSnapshotBuilder(f.snapshot, f.o, from)
+	for _, r := range changes {
+		d.applyRow(t, r)
 		if t == store.Control && r.Key == CoordinatorRow {
-			f.proposed = nil // the transaction that proposed them expected the row's revision before
+			// The proposing transaction was conditional on the previous revision of the row, so its outcome is known now.
+			f.proposedVoters = nil
 		}
 	}
 	d.logServers(f.tables[t].rev)
 	was := f.snapshot.Coordinator
 	f.snapshot = d.s.Finish()
 	if c := f.snapshot.Coordinator; c.Term != was.Term || c.Daemon != was.Daemon || c.Incarnation != was.Incarnation {
-		f.heard = f.o.Clock.Now()
+		f.coordinatorSeen = f.o.Clock.Now()
 		f.support.Reset()
 		f.sources.NewCoordinator()
 	}
-	f.wake()
+	f.notifyChanged()
 	return true
 }
--- a/io/feed/feed_test.go
+++ b/io/feed/feed_test.go
@@ -23,25 +23,25 @@
 	"heatherrouter/io/wire"
 )
 
-// memory is a store in memory. While it is hung, calls get no answer.
+// memory is a store in memory. While it is unresponsive, calls get no answer.
 type memory struct {
-	mu      sync.Mutex
-	rev     store.Rev
-	rows    [store.Tables][]store.Row // in the order they were written
-	changed chan struct{}
-	hung    bool
-	floor   store.Rev // changes up to here are forgotten
-	calls   int
+	mu           sync.Mutex
+	rev          store.Rev
+	rows         [store.Tables][]store.Row // in the order in which they were written
+	changed      chan struct{}
+	unresponsive bool
+	floor        store.Rev // the history up to this revision is truncated
+	calls        int
 }
 
 func newMemory() *memory {
 	return &memory{rev: 1, changed: make(chan struct{})}
 }
 
-func (m *memory) hang(v bool) {
+func (m *memory) setUnresponsive(v bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.hung = v
+	m.unresponsive = v
 }
 
 func (m *memory) put(t store.Table, key string, value []byte, gone bool) {
@@ -62,17 +62,17 @@
 			l = append(l, r)
 		}
 	}
-	return l, m.rev, m.hung, m.changed
+	return l, m.rev, m.unresponsive, m.changed
 }
 
-func (m *memory) called() {
+func (m *memory) countCall() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
 }
 
 func (m *memory) List(c context.Context, t store.Table) (store.Page, error) {
-	m.called()
+	m.countCall()
 	l, rev, hung, _ := m.since(t, 0)
 	if hung {
 		<-c.Done()
@@ -92,14 +92,14 @@
 }
 
 func (m *memory) Follow(c context.Context, t store.Table, after store.Rev, wait time.Duration) (store.Page, error) {
-	m.called()
+	m.countCall()
 	m.mu.Lock()
-	forgotten := after < m.floor
+	truncated := after < m.floor
 	m.mu.Unlock()
-	if forgotten {
-		return store.Page{}, store.ErrHistoryGone
+	if truncated {
+		return store.Page{}, store.ErrHistoryTruncated
 	}
-	x, cancel := context.WithTimeout(c, wait+feedWait)
+	x, cancel := context.WithTimeout(c, wait+maxPollWait)
 	defer cancel()
 	end := time.After(wait)
 	for {
@@ -121,12 +121,12 @@
 	}
 }
 
-func (m *memory) Commit(context.Context, store.Txn) (store.Rev, error) { return 0, store.ErrNotDone }
+func (m *memory) Commit(context.Context, store.Txn) (store.Rev, error) { return 0, store.ErrNotApplied }
 
-// plain reads rows in JSON of the model's own.
-type plain struct{}
+// jsonDecoder decodes rows that are the JSON encoding of the types in package site.
+type jsonDecoder struct{}
 
-func (plain) Order(key string, value []byte) (Order, error) {
+func (jsonDecoder) Order(key string, value []byte) (Order, error) {
 	if key != "config" {
 		return Evacuate{Domain: ident.Domain(key)}, nil
 	}
@@ -138,99 +138,99 @@
 	return Configure{Config: c}, err
 }
 
-func (plain) Server(key string, value []byte, _ mono.Time) (*site.Server, error) {
+func (jsonDecoder) Server(key string, value []byte, _ mono.Time) (*site.Server, error) {
 	x := &site.Server{}
 	err := json.Unmarshal(value, x)
 	x.ID = ident.Server(key)
 	return x, err
 }
 
-// pair lets daemons call each other.
-type pair map[ident.Daemon]*Feed
+// peerSet is the set of daemons that can call each other, by name.
+type peerSet map[ident.Daemon]*Feed
 
-// end is one daemon's way to call the others.
-type end struct {
-	pair
-	self   ident.Daemon
-	refuse *atomic.Int64 // so many calls fail, nil for none
-	lost   *lostSet      // daemons that answer nothing, nil for none
+// peerCaller is the Caller of one daemon.
+type peerCaller struct {
+	peerSet
+	self      ident.Daemon
+	failCalls *atomic.Int64 // number of calls that fail; nil for none
+	failed    *failedSet    // daemons that don't answer; nil for none
 }
 
-// lostSet holds daemons that have lost power: calls to them get no answer.
-type lostSet struct {
-	mu   sync.Mutex
-	lost map[ident.Daemon]bool
+// failedSet holds daemons that have lost power: calls from and to them get no answer.
+type failedSet struct {
+	mu     sync.Mutex
+	failed map[ident.Daemon]bool
 }
 
-func (s *lostSet) add(l ...ident.Daemon) {
+func (s *failedSet) add(l ...ident.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost == nil {
-		s.lost = map[ident.Daemon]bool{}
+	if s.failed == nil {
+		s.failed = map[ident.Daemon]bool{}
 	}
 	for _, d := range l {
-		s.lost[d] = true
+		s.failed[d] = true
 	}
 }
 
-func (s *lostSet) has(d ident.Daemon) bool {
+func (s *failedSet) has(d ident.Daemon) bool {
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lost[d]
+	return s.failed[d]
 }
 
-func (p end) Call(c context.Context, to ident.Daemon, m *wire.Call) (*wire.Reply, error) {
-	if p.pair[to] == nil {
-		return nil, errors.New("not reached")
+func (p peerCaller) Call(c context.Context, to ident.Daemon, m *wire.Call) (*wire.Reply, error) {
+	if p.peerSet[to] == nil {
+		return nil, errors.New("peer is not reachable")
 	}
-	if p.refuse != nil && p.refuse.Add(-1) >= 0 {
-		return nil, errors.New("not trusted yet")
+	if p.failCalls != nil && p.failCalls.Add(-1) >= 0 {
+		return nil, errors.New("peer is not trusted yet")
 	}
-	if p.lost.has(to) || p.lost.has(p.self) {
+	if p.failed.has(to) || p.failed.has(p.self) {
 		<-c.Done()
 		return nil, c.Err()
 	}
-	r := p.pair[to].Sync(c, p.self, m.GetSync())
-	if p.lost.has(to) {
+	r := p.peerSet[to].Sync(c, p.self, m.GetSync())
+	if p.failed.has(to) {
 		<-c.Done()
 		return nil, c.Err()
 	}
 	return &wire.Reply{Body: &wire.Reply_Sync{Sync: r}}, nil
 }
 
-func start(t *testing.T, s store.Store, peers pair, name ident.Daemon) *Feed {
+func start(t *testing.T, s store.Store, peers peerSet, name ident.Daemon) *Feed {
 	t.Helper()
-	return startRefused(t, s, peers, name, nil)
+	return startWithFailures(t, s, peers, name, nil)
 }
 
-func startRefused(t *testing.T, s store.Store, peers pair, name ident.Daemon, refuse *atomic.Int64) *Feed {
+func startWithFailures(t *testing.T, s store.Store, peers peerSet, name ident.Daemon, failCalls *atomic.Int64) *Feed {
 	t.Helper()
 	f := newFeed(s, name)
 	peers[name] = f
-	runFeed(t, f, end{pair: peers, self: name, refuse: refuse})
+	runFeed(t, f, peerCaller{peerSet: peers, self: name, failCalls: failCalls})
 	return f
 }
 
 func newFeed(s store.Store, name ident.Daemon) *Feed {
 	return New(Options{
-		Self: name, Life: 1, Store: s, Decoder: plain{}, Clock: clock.New(),
-		Log:      &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}},
-		Measures: func() ([]*wire.KeyCount, []*wire.ServerWork) { return nil, nil },
-		Measured: func([]*wire.KeyCount, []*wire.ServerWork) {},
+		Self: name, Incarnation: 1, Store: s, Decoder: jsonDecoder{}, Clock: clock.New(),
+		Log:              &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}},
+		TakeMeasurements: func() ([]*wire.KeyCount, []*wire.ServerWork) { return nil, nil },
+		OnMeasurements:   func([]*wire.KeyCount, []*wire.ServerWork) {},
 	})
 }
 
-func runFeed(t *testing.T, f *Feed, e end) {
+func runFeed(t *testing.T, f *Feed, e peerCaller) {
 	t.Helper()
 	g := group.New(t.Context())
 	t.Cleanup(g.Stop)
 	f.Run(g, e)
 }
 
-func control(t *testing.T, m *memory, leader ident.Daemon, names ...ident.Daemon) {
+func putControlRows(t *testing.T, m *memory, leader ident.Daemon, names ...ident.Daemon) {
 	t.Helper()
 	for _, n := range names {
 		v, err := proto.Marshal(&wire.DaemonRow{Domain: "a", Peer: "127.0.0.1:1", Incarnation: 1})
@@ -249,59 +249,59 @@
 	return 0
 }
 
-// An operator's change is in force on the follower too late. The store stops answering the coordinator without closing
-// its connections; the change is made; the coordinator still waits for its feed and tells its followers that all is
-// new. They must learn the age of what it really knows, and ask the store themselves within 2 s of the change.
-func TestFollowerOfSilencedCoordinator(t *testing.T) {
+// Guards against an operator's change that takes effect too late on a follower. The store stops answering the coordinator
+// without closing its connections, and the coordinator, which still waits for its long poll, reports its copy as current.
+// Followers must receive the real age of its copy, and read the store themselves within 2 s of the change.
+func TestFollowerOfCoordinatorWithoutStore(t *testing.T) {
 	lead, follow := newMemory(), newMemory()
 	for _, m := range []*memory{lead, follow} {
 		m.put(store.Orders, "config", []byte("1"), false)
-		control(t, m, "lead", "lead", "other")
+		putControlRows(t, m, "lead", "lead", "other")
 	}
-	peers := pair{}
+	peers := peerSet{}
 	start(t, lead, peers, "lead")
 	f := start(t, follow, peers, "other")
-	require.Eventually(t, func() bool { return version(f) == 1 && f.Known() }, time.Second, 5*time.Millisecond)
-	time.Sleep(feedWait / 2) // the coordinator's feed is under way
-	lead.hang(true)
+	require.Eventually(t, func() bool { return version(f) == 1 && f.Loaded() }, time.Second, 5*time.Millisecond)
+	time.Sleep(maxPollWait / 2) // the coordinator's long poll is in progress
+	lead.setUnresponsive(true)
 	follow.put(store.Orders, "config", []byte("2"), false)
 	require.Eventually(t, func() bool { return version(f) == 2 }, 1900*time.Millisecond, 10*time.Millisecond)
 }
 
-// lateStore hands answers to feeds over only some time after they were made.
-type lateStore struct {
+// delayedStore returns the answers of Follow a delay after they were made.
+type delayedStore struct {
 	*memory
-	late time.Duration
+	delay time.Duration
 }
 
-func (s lateStore) Follow(c context.Context, t store.Table, after store.Rev, wait time.Duration) (store.Page, error) {
+func (s delayedStore) Follow(c context.Context, t store.Table, after store.Rev, wait time.Duration) (store.Page, error) {
 	p, err := s.memory.Follow(c, t, after, wait)
-	time.Sleep(s.late)
+	time.Sleep(s.delay)
 	return p, err
 }
 
-// Guards against a daemon that stood still and takes an answer of the store from before for new, and tells its peers so.
-func TestAnswerReadLateIsOld(t *testing.T) {
+// Guards against a suspended daemon that takes an old answer of the store for current, and reports that to its peers.
+func TestDelayedAnswerIsOld(t *testing.T) {
 	m := newMemory()
 	m.put(store.Orders, "config", []byte("1"), false)
-	control(t, m, "lead", "lead")
-	f := newFeed(lateStore{memory: m, late: 2 * time.Second}, "lead")
-	require.NoError(t, f.askOnce(t.Context(), store.Orders))
-	require.NoError(t, f.askOnce(t.Context(), store.Orders))
+	putControlRows(t, m, "lead", "lead")
+	f := newFeed(delayedStore{memory: m, delay: 2 * time.Second}, "lead")
+	require.NoError(t, f.readStore(t.Context(), store.Orders))
+	require.NoError(t, f.readStore(t.Context(), store.Orders))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	require.GreaterOrEqual(t, f.age(store.Orders), 2*time.Second)
 }
 
-// All keys are refused by a daemon for 1.3 s after the whole site has started again. It reads the store while the
-// coordinator's row still names the last life of its daemon, which answers nobody; the next coordinator writes itself down
-// a moment later, and nobody tells. A daemon whose coordinator doesn't answer must learn it from the store at once.
-func TestNextCoordinatorIsLearntAtOnce(t *testing.T) {
+// Guards against a daemon that refuses all keys for 1.3 s after a restart of the whole site. It reads the store while the
+// coordinator's row still names a previous incarnation, which answers no calls. The next coordinator writes its row a moment
+// later, and no peer reports it. A daemon whose coordinator doesn't answer must read it from the store at once.
+func TestNewCoordinatorIsReadFromStore(t *testing.T) {
 	m := newMemory()
 	m.put(store.Orders, "config", []byte("1"), false)
-	control(t, m, "gone", "gone", "other")
-	f := start(t, m, pair{}, "other")
-	require.Eventually(t, func() bool { return version(f) == 1 && f.Known() }, time.Second, 5*time.Millisecond)
+	putControlRows(t, m, "gone", "gone", "other")
+	f := start(t, m, peerSet{}, "other")
+	require.Eventually(t, func() bool { return version(f) == 1 && f.Loaded() }, time.Second, 5*time.Millisecond)
 	time.Sleep(150 * time.Millisecond)
 	v, err := proto.Marshal(&wire.CoordinatorRow{Daemon: "next", Incarnation: 1, Term: 2})
 	require.NoError(t, err)
@@ -312,15 +312,15 @@
 	require.LessOrEqual(t, m.calls, store.Tables+4)
 }
 
-// The platform's owner pays for calls that tell nothing new. Two daemons run for two seconds without a change; only the
-// coordinator may follow the store.
-func TestFollowersLeaveTheStoreAlone(t *testing.T) {
+// Guards against needless calls to the store, which are charged for. Two daemons run for two seconds without a change; only
+// the coordinator may follow the store.
+func TestFollowersDoNotReadStore(t *testing.T) {
 	m, n := newMemory(), newMemory()
 	for _, x := range []*memory{m, n} {
 		x.put(store.Orders, "config", []byte("1"), false)
-		control(t, x, "lead", "lead", "other")
+		putControlRows(t, x, "lead", "lead", "other")
 	}
-	peers := pair{}
+	peers := peerSet{}
 	start(t, m, peers, "lead")
 	start(t, n, peers, "other")
 	time.Sleep(2 * time.Second)
@@ -329,14 +329,14 @@
 	require.LessOrEqual(t, n.calls, store.Tables+1)
 }
 
-// A server is sent to although it left. The store forgets its history while the server's row is dropped; the whole table
-// lacks the row, so that the copy must lose it too.
-func TestRowDroppedInForgottenHistory(t *testing.T) {
+// Guards against requests to a server that has left. The server's row is deleted, and the store truncates its history before
+// the daemon reads the change. The full table lacks the row, so the copy must delete it too.
+func TestRowDeletedInTruncatedHistory(t *testing.T) {
 	m := newMemory()
 	m.put(store.Orders, "config", []byte("1"), false)
 	m.put(store.Servers, "s1", []byte(`{"Service":"x"}`), false)
-	control(t, m, "lead", "lead")
-	f := start(t, m, pair{}, "lead")
+	putControlRows(t, m, "lead", "lead")
+	f := start(t, m, peerSet{}, "lead")
 	require.Eventually(t, func() bool { return f.Snapshot().Servers["s1"] != nil }, time.Second, 5*time.Millisecond)
 	m.mu.Lock()
 	m.rev++
@@ -346,12 +346,13 @@
 	require.Eventually(t, func() bool { return f.Snapshot().Servers["s1"] == nil }, 2*time.Second, 5*time.Millisecond)
 }
 
-// A configuration goes back. Rows with an older version, or of a shape that can't be read, leave the last one in force.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// Guards against a return to an older configuration. Rows with an older version, and rows that can't be decoded, must leave
+// the last one in force.
+func TestConfigurationIsNotReverted(t *testing.T) {
 	m := newMemory()
 	m.put(store.Orders, "config", []byte("7"), false)
-	control(t, m, "lead", "lead")
-	f := start(t, m, pair{}, "lead")
+	putControlRows(t, m, "lead", "lead")
+	f := start(t, m, peerSet{}, "lead")
 	require.Eventually(t, func() bool { return version(f) == 7 }, time.Second, 5*time.Millisecond)
 	m.put(store.Orders, "config", []byte("5"), false)
 	m.put(store.Orders, "config", []byte(`{"half`), false)
@@ -363,48 +364,48 @@
 	require.Eventually(t, func() bool { return !f.Snapshot().Evacuated["b"] }, time.Second, 5*time.Millisecond)
 }
 
-// Keys of a site of two daemons are never granted. The first call to the coordinator fails, as it hasn't read the caller's
-// row yet and doesn't trust it; there is no third daemon to ask instead. The coordinator must be asked again.
-func TestFirstCallOfTwoFails(t *testing.T) {
+// Guards against a site of two daemons whose keys are never granted. The first call to the coordinator fails, because it
+// hasn't read the caller's row yet and doesn't trust it. There is no third daemon to call, so the call must be repeated.
+func TestFirstCallFailsWithTwoDaemons(t *testing.T) {
 	m, n := newMemory(), newMemory()
 	for _, x := range []*memory{m, n} {
 		x.put(store.Orders, "config", []byte("1"), false)
-		control(t, x, "lead", "lead", "other")
+		putControlRows(t, x, "lead", "lead", "other")
 	}
-	peers := pair{}
+	peers := peerSet{}
 	l := start(t, m, peers, "lead")
-	refuse := &atomic.Int64{}
-	refuse.Store(1)
-	f := startRefused(t, n, peers, "other", refuse)
-	f.Announced(1)
+	failCalls := &atomic.Int64{}
+	failCalls.Store(1)
+	f := startWithFailures(t, n, peers, "other", failCalls)
+	f.SetAnnounced(1)
 	require.Eventually(t, func() bool { return len(l.Snapshot().Daemons) == 2 }, time.Second, time.Millisecond)
 	require.Eventually(t, l.Supported, 3*time.Second, 20*time.Millisecond)
 }
 
-// Callers of a domain that is cut off are refused by daemons that hear nobody but each other. Two of three daemons are in
-// one domain, their coordinator among them; the store and the third, in another domain, are not heard. Both must find that
-// they are cut off once they are no longer most of the site; as most of it they have only lost the store.
-func TestCutOffDomain(t *testing.T) {
+// Guards against an isolated domain whose daemons, in contact only with each other, refuse their callers. Two of three
+// daemons, the coordinator among them, are in one domain; the store and the third daemon, in another domain, don't answer.
+// Both must detect their isolation once they are no longer a majority; as a majority they have lost only the store.
+func TestIsolatedDomain(t *testing.T) {
 	m, n := newMemory(), newMemory()
 	for _, x := range []*memory{m, n} {
 		x.put(store.Orders, "config", []byte("1"), false)
-		control(t, x, "lead", "lead", "other")
+		putControlRows(t, x, "lead", "lead", "other")
 		v, err := proto.Marshal(&wire.DaemonRow{Domain: "b", Peer: "127.0.0.1:1", Incarnation: 1})
 		require.NoError(t, err)
 		x.put(store.Control, DaemonRow("far"), v, false)
 	}
-	peers := pair{}
+	peers := peerSet{}
 	l, f := start(t, m, peers, "lead"), start(t, n, peers, "other")
-	l.Announced(1)
-	f.Announced(1)
-	require.Eventually(t, func() bool { return f.Known() && l.Known() }, time.Second, 5*time.Millisecond)
+	l.SetAnnounced(1)
+	f.SetAnnounced(1)
+	require.Eventually(t, func() bool { return f.Loaded() && l.Loaded() }, time.Second, 5*time.Millisecond)
 	time.Sleep(2500 * time.Millisecond)
 	require.Less(t, f.Cut(), 2*time.Second, "the store answers")
-	require.True(t, l.Supported(), "two of three")
-	m.hang(true)
-	n.hang(true)
+	require.True(t, l.Supported(), "two of three voters support it")
+	m.setUnresponsive(true)
+	n.setUnresponsive(true)
 	time.Sleep(2500 * time.Millisecond)
-	require.Less(t, f.Cut(), 2*time.Second, "the coordinator has the support of most: the store alone is away")
+	require.Less(t, f.Cut(), 2*time.Second, "the coordinator has a quorum: only the store is unavailable")
 	for _, x := range []*Feed{l, f} {
 		for _, d := range []ident.Daemon{"far2", "far3", "far4"} {
 			v, err := proto.Marshal(&wire.DaemonRow{Domain: "b", Peer: "127.0.0.1:1", Incarnation: 1})
--- a/io/feed/fleet_test.go
+++ b/io/feed/fleet_test.go
@@ -16,37 +16,37 @@
 	"heatherrouter/io/wire"
 )
 
-// access is one daemon's access to a store that others reach as well. While it is refused, calls do nothing.
-type access struct {
+// countedStore is one daemon's access to a store that all daemons share. While refused is set, its calls fail.
+type countedStore struct {
 	*memory
 	refused atomic.Bool
-	calls   *atomic.Int64 // of all daemons
+	calls   *atomic.Int64 // calls of all daemons
 }
 
-func (a *access) List(c context.Context, t store.Table) (store.Page, error) {
+func (a *countedStore) List(c context.Context, t store.Table) (store.Page, error) {
 	a.calls.Add(1)
 	if a.refused.Load() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return a.memory.List(c, t)
 }
 
-func (a *access) Follow(c context.Context, t store.Table, after store.Rev, wait time.Duration) (store.Page, error) {
+func (a *countedStore) Follow(c context.Context, t store.Table, after store.Rev, wait time.Duration) (store.Page, error) {
 	a.calls.Add(1)
 	if a.refused.Load() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return a.memory.Follow(c, t, after, wait)
 }
 
-// fleet is a site with few voters, the first of them its coordinator.
+// fleet is a site with fleetVoters voters, the first of which is its coordinator.
 type fleet struct {
-	t     *testing.T
-	m     *memory
-	feeds []*Feed
-	ways  []*access
-	calls atomic.Int64
-	lost  lostSet
+	t      *testing.T
+	m      *memory
+	feeds  []*Feed
+	stores []*countedStore
+	calls  atomic.Int64
+	failed failedSet
 }
 
 const fleetVoters = 5
@@ -56,7 +56,7 @@
 	x := &fleet{t: t, m: newMemory()}
 	x.m.put(store.Orders, "config", []byte("1"), false)
 	row := &wire.CoordinatorRow{Daemon: "d0", Incarnation: 1, Term: 1}
-	peers := pair{}
+	peers := peerSet{}
 	for i := range n {
 		d := ident.Daemon(fmt.Sprint("d", i))
 		v, err := proto.Marshal(&wire.DaemonRow{Domain: fmt.Sprint(i % 3), Peer: "127.0.0.1:1", Incarnation: 1})
@@ -70,23 +70,23 @@
 	require.NoError(t, err)
 	x.m.put(store.Control, CoordinatorRow, v, false)
 	for i := range n {
-		a := &access{memory: x.m, calls: &x.calls}
-		x.ways = append(x.ways, a)
+		a := &countedStore{memory: x.m, calls: &x.calls}
+		x.stores = append(x.stores, a)
 		x.feeds = append(x.feeds, newFeed(a, ident.Daemon(fmt.Sprint("d", i))))
 		peers[x.feeds[i].o.Self] = x.feeds[i]
 	}
 	for _, f := range x.feeds {
-		runFeed(t, f, end{pair: peers, self: f.o.Self, lost: &x.lost})
-		f.Announced(1)
+		runFeed(t, f, peerCaller{peerSet: peers, self: f.o.Self, failed: &x.failed})
+		f.SetAnnounced(1)
 	}
-	require.Eventually(t, func() bool { return x.all(1, x.feeds) && x.feeds[0].Supported() }, 3*time.Second, 10*time.Millisecond)
-	time.Sleep(feedWait)
+	require.Eventually(t, func() bool { return x.allAtVersion(1, x.feeds) && x.feeds[0].Supported() }, 3*time.Second, 10*time.Millisecond)
+	time.Sleep(maxPollWait)
 	x.calls.Store(0)
 	return x
 }
 
-// all reports whether the version is in force at all of the daemons.
-func (x *fleet) all(v int, l []*Feed) bool {
+// allAtVersion reports whether the configuration version is in force at all of the daemons.
+func (x *fleet) allAtVersion(v int, l []*Feed) bool {
 	for _, f := range l {
 		if int(version(f)) != v {
 			return false
@@ -95,61 +95,61 @@
 	return true
 }
 
-// Guards against a fleet that reads the store in hundreds when the store turns its coordinator away.
-func TestFleetWhoseCoordinatorIsTurnedAway(t *testing.T) {
+// Guards against hundreds of daemons that read the store when the store refuses the coordinator.
+func TestFleetWithRefusedCoordinator(t *testing.T) {
 	x := newFleet(t, 40)
-	x.ways[0].refused.Store(true)
+	x.stores[0].refused.Store(true)
 	time.Sleep(time.Second)
 	x.m.put(store.Orders, "config", []byte("2"), false)
-	require.Eventually(t, func() bool { return x.all(2, x.feeds[1:]) }, 2*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return x.allAtVersion(2, x.feeds[1:]) }, 2*time.Second, 10*time.Millisecond)
 	time.Sleep(2 * time.Second)
-	require.Less(t, x.calls.Load(), int64(fleetVoters*5*5), "5 calls a voter and second")
+	require.Less(t, x.calls.Load(), int64(fleetVoters*5*5), "at most 5 calls a second for each voter")
 }
 
-// Guards against a fleet that asks a store in hundreds that is out, and against one that doesn't learn of its return.
+// Guards against hundreds of daemons that call a store during an outage, and against daemons that don't detect its end.
 func TestFleetWithoutStore(t *testing.T) {
 	x := newFleet(t, 40)
-	for _, a := range x.ways {
+	for _, a := range x.stores {
 		a.refused.Store(true)
 	}
-	const out = 6 * time.Second
-	time.Sleep(out)
+	const outage = 6 * time.Second
+	time.Sleep(outage)
 	calls := x.calls.Load()
 	require.True(t, x.feeds[0].Supported(), "the coordinator keeps its support")
 	x.m.put(store.Orders, "config", []byte("2"), false)
-	for _, a := range x.ways {
+	for _, a := range x.stores {
 		a.refused.Store(false)
 	}
-	require.Eventually(t, func() bool { return x.all(2, x.feeds) }, 2*time.Second, 10*time.Millisecond)
-	require.Less(t, calls, int64(fleetVoters*5*out.Seconds()), "5 calls a voter and second")
+	require.Eventually(t, func() bool { return x.allAtVersion(2, x.feeds) }, 2*time.Second, 10*time.Millisecond)
+	require.Less(t, calls, int64(fleetVoters*5*outage.Seconds()), "at most 5 calls a second for each voter")
 }
 
-// Guards against a start at which each daemon reads the whole store, and again until it hears of a coordinator.
+// Guards against a start at which each daemon reads all tables, and repeats that until it knows a coordinator.
 func TestFirstStartOfFleet(t *testing.T) {
 	t.Run("all at once", func(t *testing.T) { firstStart(t, 0) })
 
-	// The others find the coordinator's row in the store before they have heard of it.
-	t.Run("coordinator ahead", func(t *testing.T) { firstStart(t, startGap/2) })
+	// The other daemons read the coordinator's row from the store before a peer reports it.
+	t.Run("coordinator ahead", func(t *testing.T) { firstStart(t, startReadInterval/2) })
 }
 
-// firstStart starts a fleet whose first candidate is ahead of the others for so long, and counts the calls to the store.
+// firstStart starts a fleet whose first candidate starts earlier than the others by ahead, and counts the calls to the store.
 func firstStart(t *testing.T, ahead time.Duration) {
 	t.Helper()
 	const n = 40
-	m, peers := newMemory(), pair{}
+	m, peers := newMemory(), peerSet{}
 	m.put(store.Orders, "config", []byte("1"), false)
 	var calls atomic.Int64
 	var feeds []*Feed
 	for i := range n {
 		d := ident.Daemon(fmt.Sprint("d", i))
-		feeds = append(feeds, newFeed(&access{memory: m, calls: &calls}, d))
+		feeds = append(feeds, newFeed(&countedStore{memory: m, calls: &calls}, d))
 		peers[d] = feeds[i]
 	}
 	start := func(i int) {
 		f := feeds[i]
 		v, err := proto.Marshal(&wire.DaemonRow{Domain: "a", Peer: "127.0.0.1:1", Incarnation: 1, Capacity: uint32(i)}) //nolint:gosec // small
 		require.NoError(t, err)
-		runFeed(t, f, end{pair: peers, self: f.o.Self})
+		runFeed(t, f, peerCaller{peerSet: peers, self: f.o.Self})
 		m.put(store.Control, DaemonRow(f.o.Self), v, false)
 	}
 	first := feeds[n-1]
@@ -159,71 +159,71 @@
 		feeds[i].started = feeds[i].o.Clock.Now()
 		start(i)
 	}
-	require.Eventually(t, first.Known, 2*time.Second, 10*time.Millisecond)
+	require.Eventually(t, first.Loaded, 2*time.Second, 10*time.Millisecond)
 	v, err := proto.Marshal(&wire.CoordinatorRow{Daemon: string(first.o.Self), Incarnation: 1, Term: 1})
 	require.NoError(t, err)
 	m.put(store.Control, CoordinatorRow, v, false)
 	first.Learn([]store.Row{{Key: CoordinatorRow, Value: v, Rev: m.rev}})
 	require.Eventually(t, func() bool {
 		for _, f := range feeds {
-			if !f.Known() || f.Snapshot().Coordinator.Term == 0 {
+			if !f.Loaded() || f.Snapshot().Coordinator.Term == 0 {
 				return false
 			}
 		}
 		return true
 	}, 2*time.Second, 10*time.Millisecond)
-	require.Less(t, calls.Load(), int64(2*n+20), "twice the control table of each daemon")
+	require.Less(t, calls.Load(), int64(2*n+20), "each daemon reads the control table twice")
 }
 
-// Guards against daemons that go on asking a voter, and miss the keys' holders, when there is a new coordinator.
-func TestNextCoordinatorIsAskedAtOnce(t *testing.T) {
+// Guards against daemons that still call a voter when there is a new coordinator, and so miss the holders of keys.
+func TestNewCoordinatorIsAskedNext(t *testing.T) {
 	x := newFleet(t, 10)
 	f := x.feeds[8]
 	f.mu.Lock()
 	f.sources.Failed(f.o.Clock.Now(), f.snapshot, source.Call{Peer: "d0"})
-	f.noteAnswer(f.o.Clock.Now(), "d2", 0)
+	f.recordAnswer(f.o.Clock.Now(), "d2", 0)
 	f.mu.Unlock()
 	v, err := proto.Marshal(&wire.CoordinatorRow{Daemon: "d1", Incarnation: 1, Term: 2, Voters: []string{"d0", "d1", "d2"}})
 	require.NoError(t, err)
 	f.Learn([]store.Row{{Key: CoordinatorRow, Value: v, Rev: x.m.rev + 1}})
-	to, ok := f.next()
+	to, ok := f.nextCall()
 	require.True(t, ok)
 	require.Equal(t, ident.Daemon("d1"), to.Peer)
 	v, err = proto.Marshal(&wire.CoordinatorRow{Term: 2, Clean: true, Voters: []string{"d3"}})
 	require.NoError(t, err)
 	f.Learn([]store.Row{{Key: CoordinatorRow, Value: v, Rev: x.m.rev + 2}})
-	to, ok = f.next()
+	to, ok = f.nextCall()
 	require.True(t, ok)
-	require.Equal(t, ident.Daemon("d3"), to.Peer, "the first candidate, while the turn is nobody's")
+	require.Equal(t, ident.Daemon("d3"), to.Peer, "the first candidate, while there is no coordinator")
 }
 
-// Guards against a daemon that keeps to a peer which reads the store no more than itself, while copies grow old.
+// Guards against a daemon that relies on a peer that doesn't read the store either, so that both copies grow old.
 func TestOnlyVotersAreRelays(t *testing.T) {
 	x := newFleet(t, 10)
 	f := x.feeds[8]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.noteAnswer(f.o.Clock.Now(), "d7", 0)
+	f.recordAnswer(f.o.Clock.Now(), "d7", 0)
 	require.Empty(t, f.sources.Relay())
-	f.noteAnswer(f.o.Clock.Now(), "d2", 0)
+	f.recordAnswer(f.o.Clock.Now(), "d2", 0)
 	require.Equal(t, ident.Daemon("d2"), f.sources.Relay())
-	f.noteAnswer(f.o.Clock.Now(), "d2", source.OldCopy)
+	f.recordAnswer(f.o.Clock.Now(), "d2", source.OldCopy)
 	require.Empty(t, f.sources.Relay())
 }
 
-// Guards against a daemon that neither hears of a change from its lost sources nor reads it from the store in time.
-func TestChangeWhileCoordinatorAndVotersAreLost(t *testing.T) {
+// Guards against a daemon that gets a change neither from its failed sources nor, in time, from the store.
+func TestChangeWhileCoordinatorAndVotersFail(t *testing.T) {
 	x := newFleet(t, 40)
-	x.ways[0].refused.Store(true)
-	x.lost.add("d0")
+	x.stores[0].refused.Store(true)
+	x.failed.add("d0")
 	x.m.put(store.Orders, "config", []byte("2"), false)
 	rest := x.feeds[fleetVoters:]
-	require.Eventually(t, func() bool { return x.all(2, rest) }, 2500*time.Millisecond, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return x.allAtVersion(2, rest) }, 2500*time.Millisecond, 10*time.Millisecond)
 	for i := 1; i < fleetVoters; i++ {
-		x.ways[i].refused.Store(true)
-		x.lost.add(x.feeds[i].o.Self)
+		x.stores[i].refused.Store(true)
+		x.failed.add(x.feeds[i].o.Self)
 	}
 	time.Sleep(time.Second)
 	x.m.put(store.Orders, "config", []byte("3"), false)
-	require.Eventually(t, func() bool { return x.all(3, rest) }, 2500*time.Millisecond, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return x.allAtVersion(3, rest) }, 2500*time.Millisecond, 10*time.Millisecond)
 }
--- a/io/feed/pack.go
+++ b/io/feed/pack.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// packFrom is the size in bytes from which a value is packed for peers: most rows, those of servers and daemons, are
-	// smaller, and each would cost its receiver 20 us.
-	packFrom = 1024
+	// minPackSize is the size in bytes from which a value is packed for peers. Most rows, those of servers and daemons, are
+	// smaller, and unpacking takes a receiver 20 us for each.
+	minPackSize = 1024
 
-	// keptVersions is how many versions of a value a peer may be behind and still get the difference only. In a storm of
-	// changes, three a second, a peer that asks once a second is three behind.
+	// keptVersions is how many versions of a value are kept, so that a peer that has one of them gets only the difference.
+	// At three changes a second, a peer that calls once a second is three versions behind.
 	keptVersions = 6
 )
 
-// versions are the last ones of one value that goes to all daemons, and what was packed of the newest. The values may not
-// change afterwards.
+// versions holds the latest versions of one value that is sent to all daemons, and the packed forms of the newest. Values
+// must not be modified once they are added.
 type versions[K comparable] struct {
-	list   []versioned[K] // the newest last
-	packed map[K][]byte   // of the newest, by the version that it is packed against
-	alone  []byte         // of the newest, by itself
+	list        []versioned[K] // oldest first
+	packed      map[K][]byte   // the newest value, packed against the version of the key
+	packedAlone []byte         // the newest value, packed without a base
 }
 
 type versioned[K comparable] struct {
-	id    K
-	value []byte
+	version K
+	value   []byte
 }
 
-func (v *versions[K]) add(id K, value []byte) {
-	v.list = append(v.list, versioned[K]{id: id, value: value})
+func (v *versions[K]) add(version K, value []byte) {
+	v.list = append(v.list, versioned[K]{version: version, value: value})
 	v.list = v.list[max(0, len(v.list)-keptVersions):]
-	v.packed, v.alone = map[K][]byte{}, nil
+	v.packed, v.packedAlone = map[K][]byte{}, nil
 }
 
 func (v *versions[K]) newest() versioned[K] {
 	return v.list[len(v.list)-1]
 }
 
-// pack returns the newest value for a peer, packed against the newest version that the peer has; found is false when it
-// has none of those kept. Peers are mostly at the same version, so each result is kept for the next.
+// pack returns the newest value, packed against the newest kept version that the peer has. If the peer has none of them, found
+// is false and the value is packed without a base. Results are cached, as most peers are at the same version.
 func (v *versions[K]) pack(has func(K) bool) (base K, found bool, packed []byte, err error) {
 	for i := len(v.list) - 2; i >= 0; i-- {
 		x := v.list[i]
-		if !has(x.id) {
+		if !has(x.version) {
 			continue
 		}
-		p, ok := v.packed[x.id]
+		p, ok := v.packed[x.version]
 		if !ok {
 			if p, err = delta.Pack(x.value, v.newest().value); err != nil {
 				return base, false, nil, err
 			}
-			v.packed[x.id] = p
+			v.packed[x.version] = p
 		}
-		return x.id, true, p, nil
+		return x.version, true, p, nil
 	}
-	if v.alone == nil {
-		if v.alone, err = delta.Pack(nil, v.newest().value); err != nil {
+	if v.packedAlone == nil {
+		if v.packedAlone, err = delta.Pack(nil, v.newest().value); err != nil {
 			return base, false, nil, err
 		}
 	}
-	return base, false, v.alone, nil
+	return base, false, v.packedAlone, nil
 }
 
-// packRow returns a row as it goes to a peer that has it of a revision; 0 for none.
+// packRow returns a row as it is sent to a peer that has it at the revision peer; 0 if the peer has no version of it.
 func (t *table) packRow(r store.Row, peer store.Rev) *wire.SyncRow {
 	x := &wire.SyncRow{Key: r.Key, Rev: uint64(r.Rev)}
 	v := t.large[r.Key]
@@ -78,7 +78,7 @@
 	}
 	base, found, packed, err := v.pack(func(rev store.Rev) bool { return rev == peer })
 	if err != nil {
-		x.Value = r.Value // whole, as if it were small
+		x.Value = r.Value // unpacked, like a small value
 		return x
 	}
 	if x.Packed = packed; found {
@@ -87,8 +87,8 @@
 	return x
 }
 
-// unpackRow returns the value of a row that a peer sent. It fails when this copy doesn't have the version that the value
-// was packed against any more.
+// unpackRow returns the value of a row that a peer sent. It fails if this copy no longer has the version that the value was
+// packed against.
 func (t *table) unpackRow(r *wire.SyncRow) ([]byte, error) {
 	if len(r.GetPacked()) == 0 {
 		return r.GetValue(), nil
@@ -98,32 +98,33 @@
 	}
 	was := t.rows[r.GetKey()]
 	if was.Rev != store.Rev(r.GetBase()) {
-		return nil, trace.CompareFailed("row %q is packed against revision %d, here it is of %d", r.GetKey(), r.GetBase(), was.Rev)
+		return nil, trace.CompareFailed("unpack row %q: packed against revision %d, local copy has %d",
+			r.GetKey(), r.GetBase(), was.Rev)
 	}
 	return delta.Unpack(was.Value, r.GetPacked())
 }
 
-// packHolds returns the holds for a peer that has those of the stamp; the caller holds the lock.
+// packHolds returns the holds, packed for a peer whose holds have the stamp. The caller must hold f.mu.
 func (f *Feed) packHolds(peer hold.Stamp) (*wire.PackedHolds, error) {
-	base, found, packed, err := f.held.pack(func(s hold.Stamp) bool { return s == peer })
+	base, found, packed, err := f.encodedHolds.pack(func(s hold.Stamp) bool { return s == peer })
 	if err != nil {
 		return nil, err
 	}
-	x := &wire.PackedHolds{Stamp: encodeStamp(f.held.newest().id), Packed: packed}
+	x := &wire.PackedHolds{Stamp: encodeStamp(f.encodedHolds.newest().version), Packed: packed}
 	if found {
 		x.Base = encodeStamp(base)
 	}
 	return x, nil
 }
 
-// unpackHolds returns the holds that a peer sent, and their encoding; the caller holds the lock.
+// unpackHolds returns the holds that a peer sent, and their encoding. The caller must hold f.mu.
 func (f *Feed) unpackHolds(x *wire.PackedHolds) (*hold.Holds, []byte, error) {
 	var base []byte
 	if x.GetBase() != nil {
-		if len(f.held.list) == 0 || f.held.newest().id != decodeStamp(x.GetBase()) {
-			return nil, nil, trace.CompareFailed("holds are packed against others than those here")
+		if len(f.encodedHolds.list) == 0 || f.encodedHolds.newest().version != decodeStamp(x.GetBase()) {
+			return nil, nil, trace.CompareFailed("unpack holders of keys: packed against a version other than the local one")
 		}
-		base = f.held.newest().value
+		base = f.encodedHolds.newest().value
 	}
 	b, err := delta.Unpack(base, x.GetPacked())
 	if err != nil {
--- a/io/feed/sync.go
+++ b/io/feed/sync.go
@@ -13,14 +13,15 @@
 	"heatherrouter/io/wire"
 )
 
-// idlePause is how often a daemon without a peer to ask looks for one.
+// idlePause is the interval at which a daemon without a peer to call looks for one.
 const idlePause = 500 * time.Millisecond
 
-// follow asks the coordinator, or another peer when that doesn't answer or its copy is old, for what is new.
-func (f *Feed) follow(c context.Context) error {
+// followPeers requests changes from the coordinator, or from another peer if the coordinator doesn't answer or its copy is
+// old.
+func (f *Feed) followPeers(c context.Context) error {
 	for c.Err() == nil {
 		changed := f.Changed()
-		x, ok := f.next()
+		x, ok := f.nextCall()
 		if !ok {
 			awaitChange(c, idlePause, changed)
 			continue
@@ -34,11 +35,11 @@
 	return nil
 }
 
-// next returns the next call to a peer; false when there is none to ask.
-func (f *Feed) next() (source.Call, bool) {
+// nextCall returns the next call to a peer; false when there is no peer to call.
+func (f *Feed) nextCall() (source.Call, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.leads() || !f.read[store.Control] || f.snapshot.Coordinator.Term == 0 && !f.askedTwice() {
+	if f.leads() || !f.loaded[store.Control] || f.snapshot.Coordinator.Term == 0 && !f.rereadAtStart() {
 		f.sources.Rested()
 		return source.Call{}, false
 	}
@@ -49,15 +50,15 @@
 	return x, ok
 }
 
-// pauseUntil returns when the next call may start after one that failed.
+// pauseUntil returns the earliest start of the next call after a failed one that started at asked.
 func (f *Feed) pauseUntil(asked mono.Time) mono.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return asked.Add(f.sources.Pause(f.snapshot))
 }
 
-// awaitChange waits, but not beyond the next change. The channel is taken before what is decided on is looked at, else a change
-// in between would be slept through.
+// awaitChange waits for the duration or until the next change. Callers must fetch the channel before they read the state that
+// they decide on; otherwise a change in between is missed.
 func awaitChange(c context.Context, d time.Duration, changed <-chan struct{}) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -73,14 +74,14 @@
 	x := &wire.Sync{Term: uint64(f.snapshot.Coordinator.Term)}
 	for t := range f.tables {
 		rev := f.tables[t].rev
-		if f.whole[t] {
+		if f.needsFull[t] {
 			rev = 0
 		}
 		x.Revs = append(x.Revs, uint64(rev))
-		if f.whole[t] {
+		if f.needsFull[t] {
 			continue
 		}
-		for k, r := range f.tables[t].packable() {
+		for k, r := range f.tables[t].packableRevs() {
 			x.Rows = append(x.Rows, &wire.RowRev{Table: uint32(t), Key: k, Rev: uint64(r)}) //nolint:gosec // of few tables
 		}
 	}
@@ -113,22 +114,22 @@
 		f.o.Log.Debug().Err(err).Str("peer", string(to)).Msg("refresh from coordinator failed")
 		return false
 	}
-	return f.takeReply(to, r.GetSync())
+	return f.applyReply(to, r.GetSync())
 }
 
-// syncWith makes one call; it reports whether the peer answered and its copy is of use.
+// syncWith makes one call. It reports whether the peer answered with a usable copy.
 func (f *Feed) syncWith(c context.Context, k source.Call) bool {
 	f.mu.Lock()
 	x := f.syncRequest()
 	x.WaitUs = micros(k.Wait)
 	leads := k.Peer == f.snapshot.Coordinator.Daemon
-	if leads && f.stamped == f.snapshot.Coordinator.Term {
-		x.Stamp, x.PromiseUs = f.stamp, micros(f.promised)
+	if leads && f.promiseTerm == f.snapshot.Coordinator.Term {
+		x.Stamp, x.PromiseUs = f.promiseStamp, micros(f.promiseDuration)
 	}
 	f.mu.Unlock()
 	asked := f.o.Clock.Now()
 	if leads {
-		x.Counts, x.Works = f.o.Measures()
+		x.Counts, x.Works = f.o.TakeMeasurements()
 		if f.o.Quota != nil {
 			x.Quota = f.o.Quota.Ask()
 		}
@@ -143,14 +144,14 @@
 		return false
 	}
 	if err != nil {
-		f.notAnswered(k, err)
+		f.callFailed(k, err)
 		return false
 	}
-	return f.takeReply(k.Peer, r.GetSync())
+	return f.applyReply(k.Peer, r.GetSync())
 }
 
-// notAnswered takes in that a peer didn't answer.
-func (f *Feed) notAnswered(k source.Call, err error) {
+// callFailed records that a peer didn't answer.
+func (f *Feed) callFailed(k source.Call, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	silent := f.sources.Silent()
@@ -158,23 +159,23 @@
 	switch {
 	case !silent && f.sources.Silent():
 		f.o.Log.Info().Err(err).Str("peer", string(k.Peer)).Dur("copy-age", f.age(store.Orders)).Msg("coordinator doesn't answer")
-		f.wake()
+		f.notifyChanged()
 	case k.Peer != f.snapshot.Coordinator.Daemon:
 		f.o.Log.Info().Err(err).Str("peer", string(k.Peer)).Dur("copy-age", f.age(store.Orders)).Msg("peer doesn't answer")
 	}
 }
 
-// age returns for how long the copy of the table may be behind; the caller holds the lock.
+// age returns for how long the copy of the table may be out of date. The caller must hold f.mu.
 func (f *Feed) age(t store.Table) time.Duration {
 	return f.o.Clock.Now().Sub(f.asOf[t])
 }
 
-// takeReply takes in what a peer answered; it reports whether the peer's copy is of use.
-func (f *Feed) takeReply(from ident.Daemon, r *wire.SyncReply) bool {
+// applyReply applies the answer of a peer. It reports whether the peer's copy is usable.
+func (f *Feed) applyReply(from ident.Daemon, r *wire.SyncReply) bool {
 	now := f.o.Clock.Now()
 	asOf := now.Add(-duration(r.GetStoreAgeUs()))
 	for _, t := range r.GetTables() {
-		if t.GetTable() < store.Tables && !f.takeTable(store.Table(t.GetTable()), t, from) {
+		if t.GetTable() < store.Tables && !f.applyTable(store.Table(t.GetTable()), t, from) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.sources.Unusable(from)
@@ -187,29 +188,30 @@
 		f.asOf[t] = max(f.asOf[t], asOf)
 	}
 	if uint64(f.snapshot.Coordinator.Term) == r.GetTerm() {
-		f.heard = max(f.heard, now.Add(-duration(r.GetCoordinatorAgeUs())))
-		f.reached = max(f.reached, now.Add(-duration(r.GetReachedAgeUs())))
+		f.coordinatorSeen = max(f.coordinatorSeen, now.Add(-duration(r.GetCoordinatorAgeUs())))
+		f.siteSeen = max(f.siteSeen, now.Add(-duration(r.GetReachedAgeUs())))
 	}
-	f.reach(from)
-	useful := f.noteAnswer(now, from, now.Sub(asOf))
-	// A coordinator that the store doesn't answer is not supported by a daemon that it does: another has to take over.
+	f.noteContact(from)
+	useful := f.recordAnswer(now, from, now.Sub(asOf))
+	// A daemon with access to the store doesn't support a coordinator without it: another daemon has to take over.
 	able := now.Sub(asOf) < f.staleAfter() || now.Sub(f.asOf[store.Orders]) > f.staleAfter()
-	able = able && f.announced > 0 && f.tables[store.Control].rev >= f.announced
+	able = able && f.announcedRev > 0 && f.tables[store.Control].rev >= f.announcedRev
 	if t := site.Term(r.GetTerm()); able && r.GetStamp() > 0 && f.promise.Renew(f.o.Clock.Boot(), t, duration(r.GetPromiseUs())) {
-		f.stamp, f.stamped, f.promised = r.GetStamp(), t, duration(r.GetPromiseUs())
+		f.promiseStamp, f.promiseTerm, f.promiseDuration = r.GetStamp(), t, duration(r.GetPromiseUs())
 	}
 	if h := r.GetHolds(); h != nil {
-		f.takeHolds(h)
+		f.applyHolds(h)
 	}
 	return useful
 }
 
-// noteAnswer takes in that a peer answered with a copy of the age, and reports whether it is of use; the caller holds the lock.
-func (f *Feed) noteAnswer(now mono.Time, from ident.Daemon, age time.Duration) bool {
+// recordAnswer records that a peer answered with a copy of the age, and reports whether that copy is usable. The caller must
+// hold f.mu.
+func (f *Feed) recordAnswer(now mono.Time, from ident.Daemon, age time.Duration) bool {
 	silent, behind, relay := f.sources.Silent(), f.sources.Behind(), f.sources.Relay()
 	useful := f.sources.Answered(now, f.snapshot, from, age)
 	if behind != f.sources.Behind() {
-		f.wake()
+		f.notifyChanged()
 	}
 	if silent && !f.sources.Silent() {
 		f.o.Log.Info().Str("peer", string(from)).Dur("peer-copy-age", age).Msg("coordinator answers again")
@@ -220,26 +222,26 @@
 	return useful
 }
 
-// takeTable takes in what a peer told of a table. What can't be unpacked here is left out as a whole, and the next peer is
-// asked for the whole table: taken in by halves, the copy would claim to be newer than it is.
-func (f *Feed) takeTable(t store.Table, x *wire.SyncTable, from ident.Daemon) bool {
+// applyTable applies the part of a peer's answer for one table. If a row can't be unpacked, nothing is applied and the next
+// request asks for the full table: a copy with only some of the rows would claim a newer revision than it has.
+func (f *Feed) applyTable(t store.Table, x *wire.SyncTable, from ident.Daemon) bool {
 	f.mu.Lock()
-	p, err := f.tables[t].page(x)
+	p, err := f.tables[t].decodePage(x)
 	if err != nil {
-		f.whole[t] = true
+		f.needsFull[t] = true
 	}
 	f.mu.Unlock()
 	if err != nil {
 		f.o.Log.Warn().Err(err).Str("table", t.String()).Msg("rows of a peer not unpacked, the whole table is asked for")
 		return false
 	}
-	f.applied(t, p, x.GetWhole(), 0, string(from))
+	f.applyPage(t, p, x.GetWhole(), 0, string(from))
 	return true
 }
 
-// takeHolds takes in the holds that a peer told; the caller holds the lock. Those that can't be unpacked have been
-// followed by others already, which are packed against what is here now.
-func (f *Feed) takeHolds(x *wire.PackedHolds) {
+// applyHolds applies the holds that a peer sent. The caller must hold f.mu. Holds that can't be unpacked are skipped: newer
+// ones already exist, and the peer packs those against the holds that are current here.
+func (f *Feed) applyHolds(x *wire.PackedHolds) {
 	h, encoded, err := f.unpackHolds(x)
 	if err != nil {
 		f.o.Log.Warn().Err(err).Msg("holders of keys as told by a peer not unpacked")
@@ -248,16 +250,16 @@
 	f.publish(h, encoded)
 }
 
-// Sync answers a peer.
+// Sync answers a request of a peer. It waits up to the time that the peer allows for a change that the peer lacks.
 func (f *Feed) Sync(c context.Context, from ident.Daemon, x *wire.Sync) *wire.SyncReply {
-	f.promiseConfirmed(from, x)
+	f.recordRequest(from, x)
 	if len(x.GetCounts())+len(x.GetWorks()) > 0 {
-		f.o.Measured(x.GetCounts(), x.GetWorks())
+		f.o.OnMeasurements(x.GetCounts(), x.GetWorks())
 	}
 	until := f.o.Clock.Now().Add(duration(x.GetWaitUs()))
 	for {
 		r, changed := f.reply(x)
-		// A peer is told in time that this copy isn't renewed any more, and asks another.
+		// Answer before this copy becomes too old, so that the peer can call another daemon in time.
 		left := min(until.Sub(f.o.Clock.Now()), source.OldCopy-duration(r.GetStoreAgeUs()))
 		if len(r.GetTables()) > 0 || r.GetHolds() != nil || left <= 0 {
 			return r
@@ -274,52 +276,53 @@
 	}
 }
 
-// promiseConfirmed takes in that a peer lives, and the promise that it confirms.
-func (f *Feed) promiseConfirmed(from ident.Daemon, x *wire.Sync) {
+// recordRequest records contact with a peer, and the promise that its request confirms.
+func (f *Feed) recordRequest(from ident.Daemon, x *wire.Sync) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reach(from)
+	f.noteContact(from)
 	if x.GetStamp() > 0 && site.Term(x.GetTerm()) == f.snapshot.Coordinator.Term && f.leads() {
-		// What was promised is what the answer said, which is the same as now unless the site has just grown or shrunk.
-		f.support.Confirmed(from, time.Duration(x.GetStamp()), duration(x.GetPromiseUs())) //nolint:gosec // a time of this process
+		// The peer promised the duration in the earlier answer. It differs from the current one only after the site has just grown
+		// or shrunk.
+		f.support.Confirmed(from, time.Duration(x.GetStamp()), duration(x.GetPromiseUs())) //nolint:gosec // a stamp of this process
 	}
 }
 
-// reply returns what the peer lacks, and the channel that tells of the next change.
+// reply returns the changes that the peer lacks, and the channel that is closed at the next change.
 func (f *Feed) reply(x *wire.Sync) (*wire.SyncReply, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := &wire.SyncReply{Term: uint64(f.snapshot.Coordinator.Term)}
-	copied, heard := f.ages()
-	r.StoreAgeUs, r.CoordinatorAgeUs = micros(copied), micros(heard)
+	copied, coordinator := f.ages()
+	r.StoreAgeUs, r.CoordinatorAgeUs = micros(copied), micros(coordinator)
 	rows := rowRevs(x)
 	for t := range f.tables {
 		var rev store.Rev
 		if t < len(x.GetRevs()) {
 			rev = store.Rev(x.GetRevs()[t])
 		}
-		if y := f.tables[t].since(store.Table(t), rev, rows[t]); y != nil {
+		if y := f.tables[t].changesSince(store.Table(t), rev, rows[t]); y != nil {
 			r.Tables = append(r.Tables, y)
 		}
 	}
-	r.ReachedAgeUs = micros(f.o.Clock.Now().Sub(f.reached))
+	r.ReachedAgeUs = micros(f.o.Clock.Now().Sub(f.siteSeen))
 	if f.leads() {
 		if f.supported() {
-			r.ReachedAgeUs = 0 // else it may be cut off itself, with the daemons that still ask it
+			r.ReachedAgeUs = 0 // without a quorum this coordinator may be isolated together with the daemons that still call it
 		}
-		r.Stamp = uint64(f.o.Clock.Boot()) //nolint:gosec // a time since the host's start
+		r.Stamp = uint64(f.o.Clock.Boot()) //nolint:gosec // time since the start of the host
 		r.PromiseUs = micros(elect.PromiseTime(f.snapshot))
 	}
 	if peer := decodeStamp(x.GetHolds()); f.holds != nil && peer.Before(f.holds.Stamp) {
 		var err error
 		if r.Holds, err = f.packHolds(peer); err != nil {
-			f.o.Log.Error().Err(err).Msg("holders of keys not packed")
+			f.o.Log.Error().Err(err).Msg("failed to pack holders of keys")
 		}
 	}
 	return r, f.changed
 }
 
-// rowRevs returns the revisions of rows that a peer states, by table.
+// rowRevs returns the revisions of the packable rows that a peer has, by table and key.
 func rowRevs(x *wire.Sync) [store.Tables]map[string]store.Rev {
 	var l [store.Tables]map[string]store.Rev
 	for _, r := range x.GetRows() {
--- a/io/feed/table.go
+++ b/io/feed/table.go
@@ -9,45 +9,46 @@
 	"heatherrouter/io/wire"
 )
 
-// maxMarks is how many marks of dropped rows a copy keeps for its peers. Each is under 100 bytes; a peer that is further
-// behind gets the whole table.
-const maxMarks = 1024
+// maxTombstones is how many tombstones a copy keeps for its peers. Each takes under 100 bytes. A peer that is further behind
+// gets the full table.
+const maxTombstones = 1024
 
-// table is the copy of one table: its rows as of a revision, and marks of rows dropped since another.
+// table is the copy of one table: its rows as of rev, and tombstones of the rows deleted after tombstoneFloor.
 type table struct {
-	rev   store.Rev
-	floor store.Rev // marks of drops up to here are forgotten
-	rows  map[string]store.Row
-	marks map[string]store.Rev
-	large map[string]*versions[store.Rev] // of the rows that are packed for peers
+	rev            store.Rev
+	tombstoneFloor store.Rev // tombstones up to this revision have been discarded
+	rows           map[string]store.Row
+	tombstones     map[string]store.Rev
+	large          map[string]*versions[store.Rev] // versions of the rows that are packed for peers
 }
 
 func newTable() table {
-	return table{rows: map[string]store.Row{}, marks: map[string]store.Rev{}, large: map[string]*versions[store.Rev]{}}
+	return table{rows: map[string]store.Row{}, tombstones: map[string]store.Rev{}, large: map[string]*versions[store.Rev]{}}
 }
 
-// apply takes in what has changed up to the page's revision, and returns the rows that are news here.
+// apply applies the changes up to the page's revision, and returns the rows that this copy didn't have.
 func (t *table) apply(p store.Page) []store.Row {
-	var news []store.Row
+	var changes []store.Row
 	for _, r := range p.Rows {
-		if r.Rev <= max(t.rows[r.Key].Rev, t.marks[r.Key]) {
+		if r.Rev <= max(t.rows[r.Key].Rev, t.tombstones[r.Key]) {
 			continue
 		}
 		if _, known := t.rows[r.Key]; r.Gone && !known {
 			continue
 		}
 		t.set(r)
-		news = append(news, r)
+		changes = append(changes, r)
 	}
 	t.rev = max(t.rev, p.Rev)
-	t.prune()
-	return news
+	t.pruneTombstones()
+	return changes
 }
 
-// replace takes in the whole table as of the page's revision; what isn't in it is gone.
+// replace applies the full table as of the page's revision, and returns the changed rows. Rows that aren't in the page are
+// deleted.
 func (t *table) replace(p store.Page) []store.Row {
 	if p.Rev < t.rev {
-		return nil // older than what is known here
+		return nil // older than this copy
 	}
 	listed := map[string]bool{}
 	for _, r := range p.Rows {
@@ -65,12 +66,12 @@
 	if r.Gone {
 		delete(t.rows, r.Key)
 		delete(t.large, r.Key)
-		t.marks[r.Key] = r.Rev
+		t.tombstones[r.Key] = r.Rev
 		return
 	}
-	delete(t.marks, r.Key)
+	delete(t.tombstones, r.Key)
 	t.rows[r.Key] = r
-	if len(r.Value) < packFrom {
+	if len(r.Value) < minPackSize {
 		delete(t.large, r.Key)
 		return
 	}
@@ -80,17 +81,17 @@
 	t.large[r.Key].add(r.Rev, r.Value)
 }
 
-func (t *table) prune() {
-	if len(t.marks) <= maxMarks {
+func (t *table) pruneTombstones() {
+	if len(t.tombstones) <= maxTombstones {
 		return
 	}
-	revs := slices.Sorted(maps.Values(t.marks))
-	t.floor = revs[len(revs)/2]
-	maps.DeleteFunc(t.marks, func(_ string, r store.Rev) bool { return r <= t.floor })
+	revs := slices.Sorted(maps.Values(t.tombstones))
+	t.tombstoneFloor = revs[len(revs)/2]
+	maps.DeleteFunc(t.tombstones, func(_ string, r store.Rev) bool { return r <= t.tombstoneFloor })
 }
 
-// packable returns the revisions of the rows that peers may pack.
-func (t *table) packable() map[string]store.Rev {
+// packableRevs returns the revisions of the rows that peers may send packed.
+func (t *table) packableRevs() map[string]store.Rev {
 	m := make(map[string]store.Rev, len(t.large))
 	for k := range t.large {
 		m[k] = t.rows[k].Rev
@@ -98,20 +99,20 @@
 	return m
 }
 
-// since returns what a peer lacks whose copy is as of the revision, or nil. The peer has the rows of the revisions in has;
-// others that may be packed, it has not.
-func (t *table) since(n store.Table, rev store.Rev, has map[string]store.Rev) *wire.SyncTable {
+// changesSince returns the changes for a peer whose copy is as of rev; nil for none. has lists the revisions of the packable
+// rows that the peer has.
+func (t *table) changesSince(n store.Table, rev store.Rev, has map[string]store.Rev) *wire.SyncTable {
 	if rev >= t.rev {
 		return nil
 	}
-	x := &wire.SyncTable{Table: uint32(n), Rev: uint64(t.rev), Whole: rev < t.floor || rev == 0}
+	x := &wire.SyncTable{Table: uint32(n), Rev: uint64(t.rev), Whole: rev < t.tombstoneFloor || rev == 0}
 	for _, r := range t.rows {
 		if x.Whole || r.Rev > rev {
 			x.Rows = append(x.Rows, t.packRow(r, has[r.Key]))
 		}
 	}
 	if !x.Whole {
-		for k, r := range t.marks {
+		for k, r := range t.tombstones {
 			if r > rev {
 				x.Rows = append(x.Rows, &wire.SyncRow{Key: k, Rev: uint64(r), Gone: true})
 			}
@@ -123,13 +124,13 @@
 	return x
 }
 
-// page decodes a table as a peer sent it. Rows that are known in that version or a newer one, from another peer or the
-// store, are listed without their values: in a whole table what isn't listed is gone.
-func (t *table) page(x *wire.SyncTable) (store.Page, error) {
+// decodePage decodes a table that a peer sent. Rows that this copy has at the same or a newer revision, from another peer or
+// the store, are listed without their values: a row that isn't listed in a full table counts as deleted.
+func (t *table) decodePage(x *wire.SyncTable) (store.Page, error) {
 	p := store.Page{Rev: store.Rev(x.GetRev())}
 	for _, r := range x.GetRows() {
 		y := store.Row{Key: r.GetKey(), Rev: store.Rev(r.GetRev()), Gone: r.GetGone()}
-		known := max(t.rows[y.Key].Rev, t.marks[y.Key]) >= y.Rev
+		known := max(t.rows[y.Key].Rev, t.tombstones[y.Key]) >= y.Rev
 		if !y.Gone && !known {
 			var err error
 			if y.Value, err = t.unpackRow(r); err != nil {
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -157,7 +157,7 @@
 	defer cancel()
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
 	_, err := g.o.Store.Follow(x, store.Control, row.Rev, 0)
-	return err == nil || errors.Is(err, store.ErrHistoryGone)
+	return err == nil || errors.Is(err, store.ErrHistoryTruncated)
 }
 
 func (g *Granter) run(c context.Context) error {
@@ -207,7 +207,7 @@
 // step does what is due and returns when to look again.
 func (g *Granter) step(c context.Context) mono.Time {
 	now := g.o.Clock.Now()
-	if !g.o.Feed.Known() {
+	if !g.o.Feed.Loaded() {
 		return now.Add(lookEvery)
 	}
 	if g.known == 0 {
--- a/io/grant/voters.go
+++ b/io/grant/voters.go
@@ -33,7 +33,7 @@
 // same voters are proposed again, and the coordinator needs a quorum of both sets.
 func (g *Granter) replaceVoters(c context.Context, s *site.Snapshot, supported bool) {
 	now := g.o.Clock.Now()
-	next := g.o.Feed.Proposed()
+	next := g.o.Feed.ProposedVoters()
 	first := next == nil
 	if first {
 		var changed bool
@@ -57,15 +57,15 @@
 	}
 	x, cancel := context.WithTimeout(c, storeLimit)
 	defer cancel()
-	g.o.Feed.Propose(next)
+	g.o.Feed.ProposeVoters(next)
 	rev, err := g.o.Store.Commit(x, store.Txn{
 		Expect: []store.Expect{{Key: feed.CoordinatorRow, Rev: g.rev}},
 		Put:    []store.Row{{Key: feed.CoordinatorRow, Value: v}},
 	})
 	if err != nil {
 		g.o.Log.Info().Err(err).Strs("voters", names(next)).Msg("voters not replaced")
-		if first && errors.Is(err, store.ErrNotDone) {
-			g.o.Feed.Propose(nil) // an earlier try may have succeeded, or yet succeed
+		if first && errors.Is(err, store.ErrNotApplied) {
+			g.o.Feed.ProposeVoters(nil) // an earlier try may have succeeded, or yet succeed
 		}
 		return
 	}
--- a/io/grant/write.go
+++ b/io/grant/write.go
@@ -69,7 +69,7 @@
 // whose answer was lost may still be carried out later: then the next conflicts, and the rows are read again.
 func (g *Granter) transact(c context.Context, t store.Txn, w *written) {
 	w.rev, w.err = g.o.Store.Commit(c, t)
-	if w.err == nil || errors.Is(w.err, store.ErrNotDone) {
+	if w.err == nil || errors.Is(w.err, store.ErrNotApplied) {
 		return
 	}
 	p, err := g.o.Store.List(c, store.Control)
--- a/io/grant/write_test.go
+++ b/io/grant/write_test.go
@@ -22,7 +22,7 @@
 func (s boundedStore) Commit(_ context.Context, x store.Txn) (store.Rev, error) {
 	for _, r := range x.Put {
 		if len(r.Value) > s.limit {
-			return 0, store.ErrNotDone
+			return 0, store.ErrNotApplied
 		}
 	}
 	return 1, nil
--- a/io/guard/guard_test.go
+++ b/io/guard/guard_test.go
@@ -151,7 +151,7 @@
 // Guards against crashes that are lost, or counted twice, when transactions fail or end unknown.
 func TestCrashesAreSharedDespiteFailedTransactions(t *testing.T) {
 	s := newSite()
-	s.fail = []error{store.ErrNotDone, errUnknown, store.ErrConflict}
+	s.fail = []error{store.ErrNotApplied, errUnknown, store.ErrConflict}
 	g := start(t, s, refused)
 	f := crash.Fingerprint{1}
 	for born := range int64(3) {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -100,10 +100,10 @@
 		return err
 	}
 	n.feed = feed.New(feed.Options{
-		Self: s.Name, Life: n.life, Store: n.o.Platform.Store, Decoder: n.o.Platform.Decoder, Clock: n.clock, Log: n.o.Log,
-		Measures: func() ([]*wire.KeyCount, []*wire.ServerWork) { return n.sender.Measures() },
-		Measured: func(l []*wire.KeyCount, w []*wire.ServerWork) { n.granter.Measured(l, w) },
-		Quota:    quotaClient{n},
+		Self: s.Name, Incarnation: n.life, Store: n.o.Platform.Store, Decoder: n.o.Platform.Decoder, Clock: n.clock, Log: n.o.Log,
+		TakeMeasurements: func() ([]*wire.KeyCount, []*wire.ServerWork) { return n.sender.Measures() },
+		OnMeasurements:   func(l []*wire.KeyCount, w []*wire.ServerWork) { n.granter.Measured(l, w) },
+		Quota:            quotaClient{n},
 	})
 	n.limiter = limit.New(limit.Options{
 		Self: s.Name, Life: n.life, View: n.feed, Clock: n.clock, Log: n.o.Log,
@@ -221,7 +221,7 @@
 			continue
 		}
 		row.Rev = rev
-		n.feed.Announced(rev)
+		n.feed.SetAnnounced(rev)
 		n.feed.Learn([]store.Row{row})
 		n.whileAnnounced(c)
 	}
@@ -233,7 +233,7 @@
 // once, the others spread over a time that grows with the site.
 func (n *Node) announceDelay(c context.Context) time.Duration {
 	limit := time.Now().Add(readLimit)
-	for !n.feed.Read() && time.Now().Before(limit) && c.Err() == nil {
+	for !n.feed.ControlLoaded() && time.Now().Before(limit) && c.Err() == nil {
 		clock.Sleep(c, readLimit/20)
 	}
 	s := n.feed.Snapshot()
@@ -299,7 +299,7 @@
 
 // Ready reports whether the daemon takes callers.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && n.feed.Known() && !n.isolated()
+	return !n.leaving.Load() && n.feed.Loaded() && !n.isolated()
 }
 
 // page answers the balancer and operators.
--- a/io/store/packed.go
+++ b/io/store/packed.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// packFrom is the size in bytes from which a value is packed. Most rows are smaller.
-	packFrom = 32 << 10
+	// minPackSize is the size in bytes from which a value is packed. Most rows are smaller.
+	minPackSize = 32 << 10
 
-	// packedMark is the first byte of a packed value. No message begins with it.
+	// packedMark is the first byte of a packed value. No encoded message begins with it.
 	packedMark = 0
 )
 
-// packed is a store whose large values of the control table are packed.
+// packed is a Store that packs large values of the control table.
 type packed struct{ Store }
 
-// Packed returns the store with large values of the control table packed. The service bounds the size of a value, and the
-// assignment of a service with over a thousand servers would pass the bound: then no key could change hands any more.
+// Packed returns a Store that packs large values of the control table. The storage service limits the size of a value, and
+// the key assignment of a service with over a thousand servers would exceed it: then no key could be reassigned.
 func Packed(s Store) Store { return packed{s} }
 
 // List implements Store.
@@ -39,20 +39,20 @@
 func (s packed) Commit(c context.Context, x Txn) (Rev, error) {
 	x.Put = slices.Clone(x.Put)
 	for i, r := range x.Put {
-		if len(r.Value) < packFrom {
+		if len(r.Value) < minPackSize {
 			continue
 		}
 		v, err := delta.Pack(nil, r.Value)
 		if err != nil {
-			return 0, ErrNotDone
+			return 0, ErrNotApplied
 		}
 		x.Put[i].Value = append([]byte{packedMark}, v...)
 	}
 	return s.Store.Commit(c, x)
 }
 
-// unpack returns the page with its values unpacked. One that can't be is left as it is: whoever reads it finds that it is no
-// message, as with any other row that can't be read.
+// unpack returns the page with its values unpacked. A value that can't be unpacked stays as it is: its reader then fails to
+// decode it, as with any other malformed row.
 func unpack(t Table, p Page) Page {
 	if t != Control {
 		return p
--- a/io/store/packed_test.go
+++ b/io/store/packed_test.go
@@ -11,7 +11,7 @@
 	"heatherrouter/io/store"
 )
 
-// memory is a store that answers with what was written last.
+// memory is a Store that returns the rows of the last transaction.
 type memory struct {
 	store.Store
 	put []store.Row
@@ -30,7 +30,7 @@
 	return m.List(c, t)
 }
 
-// Guards against values that come back changed, or that grow beyond what the service takes.
+// Guards against values that are read back changed, or that exceed the size limit of the storage service.
 func TestLargeValuesArePacked(t *testing.T) {
 	m := &memory{}
 	s := store.Packed(m)
@@ -41,7 +41,7 @@
 	require.Equal(t, store.Rev(7), rev)
 	require.Equal(t, small, m.put[0].Value)
 	require.Less(t, len(m.put[1].Value), len(large)/10)
-	require.Equal(t, large, put[1].Value, "the caller's rows stay as they are")
+	require.Equal(t, large, put[1].Value, "the caller's rows must not be modified")
 
 	p, err := s.List(t.Context(), store.Control)
 	require.NoError(t, err)
@@ -51,5 +51,5 @@
 	require.Equal(t, put, p.Rows)
 	p, err = s.List(t.Context(), store.Servers)
 	require.NoError(t, err)
-	require.Equal(t, m.put, p.Rows, "rows of others are left alone")
+	require.Equal(t, m.put, p.Rows, "rows of other tables must not be unpacked")
 }
