--- a/io/front/conn.go
+++ b/io/front/conn.go
@@ -14,93 +14,94 @@
 )
 
 const (
-	// maxAhead is how many requests of one connection are worked on at once. Callers send a few ahead of the answers.
-	maxAhead = 16
+	// maxPipelined bounds the requests of one connection in progress. Callers pipeline only a few.
+	maxPipelined = 16
 
-	// bodyTime bounds the reading of one body. Deadlines of requests are far shorter; it only frees the connection of a
-	// caller that vanished in the middle.
-	bodyTime = 30 * time.Second
+	// bodyTimeout bounds the reading of one body. Deadlines of requests are far shorter; it only frees the connection of a
+	// caller that vanished while sending.
+	bodyTimeout = 30 * time.Second
 
-	// writeTime bounds the writing of one answer to a caller that doesn't read.
-	writeTime = 30 * time.Second
+	// writeTimeout bounds the writing of one response to a caller that doesn't read.
+	writeTimeout = 30 * time.Second
 
-	// lingerTime is how long a connection is read on after its last answer. Closed at once with requests unread, it
-	// would be reset, and the caller's system may drop an answer that is still on its way.
-	lingerTime = time.Second
+	// lingerTimeout is how long a connection is read after its last response. If it were closed with unread requests, it
+	// would be reset, and the caller's system could drop a response in transit.
+	lingerTimeout = time.Second
 
-	writeBuffer = 4 << 10
+	writeBufferBytes = 4 << 10
 )
 
-// conn is one caller's connection.
+// conn is a caller's connection.
 type conn struct {
-	front  *Front
-	net    net.Conn
-	br     *bufio.Reader
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	ahead  chan struct{} // one for each request under way
-
-	mu    sync.Mutex
-	queue []*exchange // in the order of the requests
-	last  bool        // an answer has been given that closes the connection
-	idle  bool        // waits for the first byte of a request
+	frontend *Frontend
+	net      net.Conn
+	br       *bufio.Reader
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	pipeline chan struct{} // semaphore with one element per request in progress
+
+	mu      sync.Mutex
+	queue   []*exchange // exchanges without a written response, in the order of the requests
+	closing bool        // no response follows: one with Connection: close was written, or the idle connection was closed
+	idle    bool        // waiting for the first byte of a request
 }
 
-// exchange is one request and its answer.
+// exchange is a request and its response.
 type exchange struct {
 	req  *fasthttp.Request
 	resp *fasthttp.Response
 	done bool
 }
 
-// errLeft is the cause for which a context ends when its caller has left.
-var errLeft = errors.New("the caller has left")
+// errCallerLeft is the cancellation cause of a connection's context.
+var errCallerLeft = errors.New("caller's connection ended")
 
-func newConn(f *Front, n net.Conn) *conn {
-	c := &conn{front: f, net: n, br: bufio.NewReaderSize(n, f.o.Limits().HeaderBytes), ahead: make(chan struct{}, maxAhead)}
+func newConn(f *Frontend, n net.Conn) *conn {
+	c := &conn{frontend: f, net: n, br: bufio.NewReaderSize(n, f.o.Limits().HeaderBytes), pipeline: make(chan struct{}, maxPipelined)}
 	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	return c
 }
 
-// serve reads requests until the caller leaves or an answer closes the connection. It goes on reading while requests
-// are under way, since only so it learns that the caller has left.
+// serve reads requests until the caller disconnects or a response closes the connection. It continues to read while requests
+// are in progress, which is the only way to detect that the caller has disconnected.
 func (c *conn) serve() {
 	defer c.net.Close()
 	for {
-		if err := c.await(); err != nil {
+		if err := c.awaitRequest(); err != nil {
 			break
 		}
-		if c.ended() {
+		if c.isClosing() {
 			c.discard()
 			break
 		}
 		x := &exchange{req: fasthttp.AcquireRequest(), resp: fasthttp.AcquireResponse()}
-		status, err := c.read(x.req)
+		status, err := c.readRequest(x.req)
 		if err != nil && status == 0 {
 			break
 		}
-		c.ahead <- struct{}{}
-		c.push(x)
+		c.pipeline <- struct{}{}
+		c.enqueue(x)
 		if err != nil {
-			c.refuse(x, status)
+			c.reject(x, status)
 			continue
 		}
-		go c.run(x)
+		go c.handle(x)
 	}
-	c.cancel(errLeft)
-	for range maxAhead {
-		c.ahead <- struct{}{} // until the last request under way has ended
+	c.cancel(errCallerLeft)
+	for range maxPipelined {
+		c.pipeline <- struct{}{} // waits for all requests in progress
 	}
 }
 
-// await waits for the first byte of the next request, or the end of the connection.
-func (c *conn) await() error {
+// awaitRequest waits for the first byte of the next request. It returns an error if the connection ended or, with no request
+// pending, was idle for too long.
+func (c *conn) awaitRequest() error {
 	c.setIdle(true)
 	defer c.setIdle(false)
 	for {
-		idle := c.front.o.Limits().IdleTime
-		if c.ended() {
-			idle = lingerTime
+		idle := c.frontend.o.Limits().IdleTime
+		if c.isClosing() {
+			idle = lingerTimeout
 		}
 		if err := c.net.SetReadDeadline(time.Now().Add(idle)); err != nil {
 			return err
@@ -115,69 +116,69 @@
 	}
 }
 
-// discard reads what comes behind the last answer until the caller closes.
+// discard reads and drops data after the last response until the caller closes the connection, at most for lingerTimeout.
 func (c *conn) discard() {
-	_ = c.net.SetReadDeadline(time.Now().Add(lingerTime)) // fails only on a closed connection, as the read would
+	_ = c.net.SetReadDeadline(time.Now().Add(lingerTimeout)) // fails only on a closed connection, as the read would
 	_, _ = io.Copy(io.Discard, c.br)
 }
 
-// read reads one request. With an error, the status is the answer to give, or 0 for none.
-func (c *conn) read(req *fasthttp.Request) (status int, err error) {
-	l := c.front.o.Limits()
+// readRequest reads one request. With an error, status is that of the response to send, or 0 for no response.
+func (c *conn) readRequest(req *fasthttp.Request) (status int, err error) {
+	l := c.frontend.o.Limits()
 	if err := c.net.SetReadDeadline(time.Now().Add(l.HeaderTime)); err != nil {
 		return 0, err
 	}
 	if err := req.Header.Read(c.br); err != nil {
-		return headStatus(err), err
+		return headerErrorStatus(err), err
 	}
-	if err := c.net.SetReadDeadline(time.Now().Add(bodyTime)); err != nil {
+	if err := c.net.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return 0, err
 	}
 	if req.MayContinue() {
-		if err := c.interim(); err != nil {
+		if err := c.sendContinue(); err != nil {
 			return 0, err
 		}
 	}
 	if err := req.ContinueReadBody(c.br, l.BodyBytes, false); err != nil {
-		return bodyStatus(err), err
+		return bodyErrorStatus(err), err
 	}
 	return 0, nil
 }
 
-func headStatus(err error) int {
+func headerErrorStatus(err error) int {
 	var small *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.As(err, &small):
 		return fasthttp.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return fasthttp.StatusRequestTimeout
-	case isCut(err):
+	case isDisconnect(err):
 		return 0
 	}
 	return fasthttp.StatusBadRequest
 }
 
-func bodyStatus(err error) int {
+func bodyErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return fasthttp.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return fasthttp.StatusRequestTimeout
-	case isCut(err):
+	case isDisconnect(err):
 		return 0
 	}
 	return fasthttp.StatusBadRequest
 }
 
-// isCut reports whether the caller's connection ended in the middle of a request.
-func isCut(err error) bool {
+// isDisconnect reports whether the caller's connection failed in the middle of a request.
+func isDisconnect(err error) bool {
 	var n net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &n)
 }
 
-// interim tells a caller that waits for it to send the body. With answers due before, it isn't sent: callers send the
-// body after a short wait.
-func (c *conn) interim() error {
+// sendContinue sends 100 Continue to a caller that waits for it before sending the body. It sends nothing while earlier
+// responses are pending: callers then send the body after a short wait.
+func (c *conn) sendContinue() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) > 0 {
@@ -187,58 +188,60 @@
 	return err
 }
 
-func (c *conn) push(x *exchange) {
-	c.front.open.Add(1)
+func (c *conn) enqueue(x *exchange) {
+	c.frontend.open.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue = append(c.queue, x)
 }
 
-// refuse answers a request that can't be read. Where the next one would begin isn't known, so the answer closes.
-func (c *conn) refuse(x *exchange, status int) {
+// reject responds to a request that could not be read. The response closes the connection, as the start of the next request
+// is unknown.
+func (c *conn) reject(x *exchange, status int) {
 	x.resp.SetStatusCode(status)
 	x.resp.SetConnectionClose()
-	c.finish(x)
+	c.complete(x)
 }
 
-func (c *conn) run(x *exchange) {
-	c.front.o.Handler(c.ctx, x.req, x.resp)
-	c.finish(x)
+func (c *conn) handle(x *exchange) {
+	c.frontend.o.Handler(c.ctx, x.req, x.resp)
+	c.complete(x)
 }
 
-// finish gives the answers that are next in order.
-func (c *conn) finish(x *exchange) {
+// complete marks the exchange as done and writes all responses that are next in order.
+func (c *conn) complete(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x.done = true
 	for len(c.queue) > 0 && c.queue[0].done {
-		c.write(c.queue[0])
+		c.writeResponse(c.queue[0])
 		c.queue = c.queue[1:]
-		c.front.open.Add(-1)
-		<-c.ahead
+		c.frontend.open.Add(-1)
+		<-c.pipeline
 	}
-	if c.last && len(c.queue) == 0 {
-		c.hangUp()
+	if c.closing && len(c.queue) == 0 {
+		c.halfClose()
 	}
 }
 
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBuffer) }}
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
 
-// write gives one answer, unless an earlier one has closed the connection: what stood behind that counts as not read.
-func (c *conn) write(x *exchange) {
+// writeResponse writes one response, unless an earlier one closed the connection: requests after that count as not read. The
+// caller holds c.mu.
+func (c *conn) writeResponse(x *exchange) {
 	defer fasthttp.ReleaseRequest(x.req)
 	defer fasthttp.ReleaseResponse(x.resp)
-	if c.last || c.ctx.Err() != nil {
+	if c.closing || c.ctx.Err() != nil {
 		return
 	}
-	if x.req.Header.ConnectionClose() || c.front.leaving.Load() || c.front.o.Away() {
+	if x.req.Header.ConnectionClose() || c.frontend.draining.Load() || c.frontend.o.CloseAfterResponse() {
 		x.resp.SetConnectionClose()
 	}
-	c.last = x.resp.ConnectionClose()
-	w := writers.Get().(*bufio.Writer) //nolint:errcheck,forcetypeassert // the pool holds nothing else
-	defer writers.Put(w)
+	c.closing = x.resp.ConnectionClose()
+	w := writerPool.Get().(*bufio.Writer) //nolint:errcheck,forcetypeassert // the pool holds nothing else
+	defer writerPool.Put(w)
 	w.Reset(c.net)
-	err := c.net.SetWriteDeadline(time.Now().Add(writeTime))
+	err := c.net.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err == nil {
 		x.resp.SkipBody = x.resp.SkipBody || x.req.Header.IsHead()
 		err = x.resp.Write(w)
@@ -247,32 +250,32 @@
 		err = w.Flush()
 	}
 	if err != nil {
-		c.cut() // half an answer must not be followed by another
+		c.abort() // a partial response must not be followed by another
 	}
 	w.Reset(nil)
 }
 
-// hangUp ends our side of the connection; the caller reads the last answer and closes its own.
-func (c *conn) hangUp() {
+// halfClose closes the write side of the connection, so that the caller reads the last response and then closes its side.
+func (c *conn) halfClose() {
 	if t, ok := c.net.(*net.TCPConn); ok {
-		_ = t.CloseWrite() // fails only when the caller has closed
+		_ = t.CloseWrite() // fails only if the caller has closed the connection
 	}
-	_ = c.net.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = c.net.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// cut ends the connection without regard to what is under way.
-func (c *conn) cut() {
-	c.cancel(errLeft)
+// abort closes the connection at once and cancels the context of its requests.
+func (c *conn) abort() {
+	c.cancel(errCallerLeft)
 	_ = c.net.Close()
 }
 
-// closeIdle closes the connection if no request is under way and none has begun to come.
+// closeIdle closes the connection if no request is in progress and none has been partly received.
 func (c *conn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle && len(c.queue) == 0 {
-		c.last = true
-		c.hangUp()
+		c.closing = true
+		c.halfClose()
 	}
 }
 
@@ -282,10 +285,10 @@
 	c.idle = v
 }
 
-func (c *conn) ended() bool {
+func (c *conn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last
+	return c.closing
 }
 
 func (c *conn) pending() int {
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -1,8 +1,8 @@
-// Package front takes callers' connections: it reads their requests, several at a time where callers send them behind
-// one another, and returns the answers in their order.
+// Package front is the HTTP/1.1 server for callers. It runs pipelined requests concurrently and returns the responses in
+// order.
 //
-// It stands on the messages of fasthttp but not on its server, which reads the next request only after the answer to
-// the last: a slow answer would hold up all behind it, and a caller that has left would go unnoticed.
+// It uses the messages of fasthttp but not its server, which reads the next request only after the previous response: a slow
+// response would delay all later requests, and a caller's disconnect would not be detected.
 package front
 
 import (
@@ -20,41 +20,41 @@
 	"heatherrouter/io/group"
 )
 
-// Handler answers one request. The context ends when the caller has left.
+// Handler fills resp with the response to one request. The context is cancelled when the caller disconnects.
 type Handler func(c context.Context, req *fasthttp.Request, resp *fasthttp.Response)
 
-// Options are what a Front needs.
+// Options configure a Frontend.
 type Options struct {
 	Listen  net.Listener
 	Limits  func() site.Limits
 	Handler Handler
 
-	// Away says that callers are better served elsewhere: answers close their connections.
-	Away func() bool
+	// CloseAfterResponse reports whether callers should use another daemon: responses then close their connections.
+	CloseAfterResponse func() bool
 }
 
-// Front is the listener for callers with all their connections.
-type Front struct {
-	o       Options
-	leaving atomic.Bool
-	open    atomic.Int64 // requests without an answer
+// Frontend accepts callers' connections and serves their requests.
+type Frontend struct {
+	o        Options
+	draining atomic.Bool
+	open     atomic.Int64 // requests without a response
 
 	mu    sync.Mutex
 	conns map[*conn]bool
 	wait  sync.WaitGroup
 }
 
-// New starts to take callers on the listener; Close ends all of it.
-func New(g *group.Group, o Options) *Front {
-	f := &Front{o: o, conns: map[*conn]bool{}}
+// New starts to accept connections on the listener until Close or Shutdown.
+func New(g *group.Group, o Options) *Frontend {
+	f := &Frontend{o: o, conns: map[*conn]bool{}}
 	g.Go(f.accept)
 	return f
 }
 
-// acceptPause is waited after the listener failed for want of descriptors, which others give back soon.
+// acceptPause is the delay after accept failed for lack of file descriptors, which other connections soon release.
 const acceptPause = 20 * time.Millisecond
 
-func (f *Front) accept(context.Context) error {
+func (f *Frontend) accept(context.Context) error {
 	for {
 		n, err := f.o.Listen.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -77,30 +77,30 @@
 	}
 }
 
-// Open returns how many requests have no answer yet.
-func (f *Front) Open() int {
+// OpenRequests returns how many requests have no response yet.
+func (f *Frontend) OpenRequests() int {
 	return int(f.open.Load())
 }
 
-// Conns returns how many connections callers have open.
-func (f *Front) Conns() int {
+// OpenConns returns the number of open connections.
+func (f *Frontend) OpenConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// Leave asks callers to go elsewhere: each answer from now on is the last of its connection.
-func (f *Front) Leave() {
-	f.leaving.Store(true)
+// Drain makes callers reconnect to another daemon: each connection is closed after its next response.
+func (f *Frontend) Drain() {
+	f.draining.Store(true)
 }
 
-// Shutdown takes no further connections, closes those on which nothing is under way, and waits for the others, at most
-// until the context ends.
-func (f *Front) Shutdown(c context.Context) error {
-	f.leaving.Store(true)
+// Shutdown stops accepting connections, closes idle ones and waits for the others until the context ends. It may be called
+// again to wait longer.
+func (f *Frontend) Shutdown(c context.Context) error {
+	f.draining.Store(true)
 	err := f.o.Listen.Close()
 	if errors.Is(err, net.ErrClosed) {
-		err = nil // it is called again to wait longer
+		err = nil // closed by an earlier call
 	}
 	f.mu.Lock()
 	for x := range f.conns {
@@ -116,16 +116,16 @@
 	case <-done:
 		return trace.Wrap(err)
 	case <-c.Done():
-		return trace.NewAggregate(err, trace.LimitExceeded("%d requests without an answer", f.Open()))
+		return trace.NewAggregate(err, trace.LimitExceeded("shutdown timed out: %d requests without a response", f.OpenRequests()))
 	}
 }
 
-// Close cuts off what is left.
-func (f *Front) Close() {
-	_ = f.o.Listen.Close() // fails only when closed before
+// Close closes the listener and all connections, and cancels the contexts of their requests.
+func (f *Frontend) Close() {
+	_ = f.o.Listen.Close() // fails only if already closed
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for x := range f.conns {
-		x.cut()
+		x.abort()
 	}
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -69,7 +69,7 @@
 	limiter *limit.Limiter
 	guard   *guard.Guard
 	peers   *peer.Transport
-	front   *front.Front
+	front   *front.Frontend
 	pages   *fasthttp.Server
 	leaving atomic.Bool
 }
@@ -182,7 +182,7 @@
 
 // serve starts to take callers and to answer the balancer and operators.
 func (n *Node) serve(x listeners) {
-	n.front = front.New(n.group, front.Options{Listen: x.entry, Limits: n.limits, Handler: n.sender.Handle, Away: n.isolated})
+	n.front = front.New(n.group, front.Options{Listen: x.entry, Limits: n.limits, Handler: n.sender.Handle, CloseAfterResponse: n.isolated})
 	n.pages = &fasthttp.Server{Handler: n.page, NoDefaultServerHeader: true}
 	for _, l := range x.pages {
 		n.group.Go(func(context.Context) error { return n.pages.Serve(l) })
@@ -341,9 +341,9 @@
 // answers what callers still send, and ends when the last answer is out or the grace is over.
 func (n *Node) Leave(c context.Context) {
 	started := time.Now()
-	n.o.Log.Info().Int("open", n.front.Open()).Int("connections", n.front.Conns()).Msg("daemon is leaving")
+	n.o.Log.Info().Int("open", n.front.OpenRequests()).Int("connections", n.front.OpenConns()).Msg("daemon is leaving")
 	n.leaving.Store(true)
-	n.front.Leave()
+	n.front.Drain()
 	x, cancel := context.WithDeadline(c, started.Add(n.o.Settings.Limits.Grace-leaveMargin))
 	defer cancel()
 	var hand sync.WaitGroup
--- a/io/node/state.go
+++ b/io/node/state.go
@@ -42,7 +42,7 @@
 		Daemon: n.o.Settings.Name, Domain: n.o.Settings.Domain, Ready: n.Ready(), Coordinator: s.Coordinator, Voters: s.Voters,
 		CopyAgeMS: copied.Milliseconds(), HeardAgeMS: heard.Milliseconds(), Evacuated: slices.Sorted(maps.Keys(s.Evacuated)),
 		Daemons: slices.Sorted(maps.Keys(s.Daemons)), Servers: map[ident.Server]site.Server{},
-		Limits: n.limiter.States(), Crashes: n.guard.States(), OpenRequests: n.front.Open(), Waiting: n.sender.Waiting(), Connections: n.front.Conns(),
+		Limits: n.limiter.States(), Crashes: n.guard.States(), OpenRequests: n.front.OpenRequests(), Waiting: n.sender.Waiting(), Connections: n.front.OpenConns(),
 	}
 	if s.Config != nil {
 		d.Version = s.Config.Version
