--- a/io/node/node.go
+++ b/io/node/node.go
@@ -101,7 +101,7 @@
 	}
 	n.feed = feed.New(feed.Options{
 		Self: s.Name, Life: n.life, Store: n.o.Platform.Store, Decoder: n.o.Platform.Decoder, Clock: n.clock, Log: n.o.Log,
-		Measures: func() ([]*wire.KeyCount, []*wire.ServerWork) { return n.sender.Measures() },
+		Measures: func() ([]*wire.KeyCount, []*wire.ServerWork) { return n.sender.TakeMeasurements() },
 		Measured: func(l []*wire.KeyCount, w []*wire.ServerWork) { n.granter.Measured(l, w) },
 		Quota:    quotaClient{n},
 	})
@@ -118,9 +118,9 @@
 	})
 	n.sender = send.New(send.Options{
 		Self: s.Name, Domain: s.Domain, View: n.feed, Dialect: n.o.Platform.Dialect,
-		Cold:   pace.ColdLimit{Factor: s.Limits.ColdFactor, Slack: s.Limits.ColdSlack},
-		Budget: pace.BudgetLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
-		Clock:  n.clock, Counter: n.meter, Log: n.o.Log, Limiter: n.limiter, Guard: n.guard, MaxCopyAge: s.Limits.MaxCopyAge,
+		ColdLimit:  pace.ColdLimit{Factor: s.Limits.ColdFactor, Slack: s.Limits.ColdSlack},
+		RetryLimit: pace.BudgetLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
+		Clock:      n.clock, Counter: n.meter, Log: n.o.Log, Limiter: n.limiter, Guard: n.guard, MaxCopyAge: s.Limits.MaxCopyAge,
 	})
 	if n.id, err = newIdentity(s.Name, n.feed.Snapshot); err != nil {
 		return err
@@ -281,7 +281,7 @@
 		case <-t.C:
 			n.sender.Prune()
 			if n.feed.Leads() {
-				n.granter.Measured(n.sender.Measures())
+				n.granter.Measured(n.sender.TakeMeasurements())
 			}
 		}
 	}
@@ -356,7 +356,7 @@
 	}
 	if err := n.front.Shutdown(x); err != nil {
 		n.o.Log.Warn().Err(err).Msg("requests given up")
-		n.sender.GiveUp()
+		n.sender.AbortAll()
 		y, cancel := context.WithTimeout(c, giveUpTime)
 		defer cancel()
 		if err := n.front.Shutdown(y); err != nil {
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -15,69 +15,70 @@
 )
 
 const (
-	// avoidFailed is how long a server that reset or refused connections, or was silent, is left alone.
-	avoidFailed = 500 * time.Millisecond
+	// avoidAfterFailure is how long a server is avoided after it reset or refused a connection or did not respond.
+	avoidAfterFailure = 500 * time.Millisecond
 
-	// avoidFull is the same for one that had no room.
-	avoidFull = 100 * time.Millisecond
+	// avoidWhenFull is how long a server without free capacity is avoided.
+	avoidWhenFull = 100 * time.Millisecond
 
-	// settle is for how long a new connection is looked at before it is used: the way to a server in another failure domain
-	// and back takes 3 ms.
-	settle = 4 * time.Millisecond
+	// settleTime is how long a new connection is watched for a reset before it is used: a round trip to a server in another
+	// failure domain takes 3 ms.
+	settleTime = 4 * time.Millisecond
 
-	// suspectRestart is for how long a server that reset connections is sent one request each suspectPace: it may have
-	// started again and be cold, and its announcement of that takes up to a heartbeat and the way through the store.
-	suspectRestart = 1500 * time.Millisecond
-	suspectPace    = 400 * time.Millisecond
+	// restartSuspicionTime is how long a server that reset a connection is sent at most one request per
+	// restartProbeInterval. It may have restarted and be cold, and its announcement takes up to a heartbeat and the delay of
+	// the store.
+	restartSuspicionTime = 1500 * time.Millisecond
+	restartProbeInterval = 400 * time.Millisecond
 )
 
-// attempt sends the request to the server; nil means to look for the next.
-func (s *Sender) attempt(r *request, b *back) *final {
+// attempt sends the request to the server. It returns nil if another server should be chosen.
+func (s *Sender) attempt(r *request, b *backend) *result {
 	now := s.o.Clock.Now()
-	if len(r.tried) > 0 && !s.takeMore(r, now) {
-		f := s.refuse(r, b.unpaid(now))
+	if len(r.sentTo) > 0 && !s.takeRetry(r, now) {
+		f := s.refuse(r, b.noRetryReason(now))
 		return &f
 	}
 	resp := fasthttp.AcquireResponse()
 	x, sent := s.exchange(r, b, resp)
 	if sent {
-		r.tried = append(r.tried, b.server.ID)
+		r.sentTo = append(r.sentTo, b.server.ID)
 	}
 	took := s.o.Clock.Now().Sub(now)
 	s.observe(r, b, x, resp, took)
-	s.guard(r, b, x, resp)
-	if x.Outcome == retry.Answered && !s.whole(resp) {
+	s.reportToGuard(r, b, x, resp)
+	if x.Outcome == retry.Answered && !s.isFromServer(resp) {
 		x.Outcome, x.Err = retry.Unknown, errUnsigned
 	}
 	if x.Outcome != retry.Answered {
-		s.logSend(r, b, x, resp, took)
+		s.logFailedSend(r, b, x, resp, took)
 	}
 	switch x.Outcome {
 	case retry.Answered:
-		return s.answered(r, resp)
+		return s.handleResponse(r, resp)
 	case retry.NotRun:
 		fasthttp.ReleaseResponse(resp)
-		return s.notRun(r, b, x, sent)
+		return s.handleNotRun(r, b, x, sent)
 	}
 	fasthttp.ReleaseResponse(resp)
-	r.maybe = true
+	r.mayHaveRun = true
 	if r.caller.Err() != nil {
-		return &final{outcome: left, reason: "caller-left"}
+		return &result{outcome: outcomeCallerLeft, reason: "caller-left"}
 	}
 	if !r.route.Idempotent {
-		return &final{status: unknownStatus(x), outcome: unknown, reason: x.End.String()}
+		return &result{status: unknownStatus(x), outcome: outcomeUnknown, reason: x.End.String()}
 	}
-	if x.End == admit.EndReset && s.suspected(r) {
-		f := s.refuse(r, reasonDeadly)
+	if x.End == admit.EndReset && s.suspectedOfCrash(r) {
+		f := s.refuse(r, reasonCrashing)
 		return &f
 	}
 	return nil
 }
 
-var errUnsigned = errors.New("a success without the server's signature")
+var errUnsigned = errors.New("success response without the server's signature header")
 
-// whole reports whether an answer is the server's own: a success has to bear its signature.
-func (s *Sender) whole(resp *fasthttp.Response) bool {
+// isFromServer reports whether the backend server itself produced the response: a success must carry its signature header.
+func (s *Sender) isFromServer(resp *fasthttp.Response) bool {
 	c := resp.StatusCode()
 	return c < 200 || c > 299 || len(resp.Header.Peek(s.o.Dialect.Signature)) > 0
 }
@@ -89,35 +90,37 @@
 	return fasthttp.StatusBadGateway
 }
 
-// answered takes a whole answer: it is final, but that a failure of an idempotent request is worth another server.
-func (s *Sender) answered(r *request, resp *fasthttp.Response) *final {
-	if r.answer != nil {
-		fasthttp.ReleaseResponse(r.answer)
-		r.answer = nil
+// handleResponse returns the server's response as the result, or nil if another server should be tried: the status is 5xx, the
+// request idempotent and its service not keyed.
+func (s *Sender) handleResponse(r *request, resp *fasthttp.Response) *result {
+	if r.response != nil {
+		fasthttp.ReleaseResponse(r.response)
+		r.response = nil
 	}
 	if resp.StatusCode() >= fasthttp.StatusInternalServerError && r.route.Idempotent && !r.service.Keyed {
-		r.maybe, r.answer = true, resp
+		r.mayHaveRun, r.response = true, resp
 		return nil
 	}
 	reason := ""
 	if resp.StatusCode() >= fasthttp.StatusInternalServerError {
 		reason = "failed"
 	}
-	return &final{status: resp.StatusCode(), outcome: answered, reason: reason, answer: resp}
+	return &result{status: resp.StatusCode(), outcome: outcomeAnswered, reason: reason, response: resp}
 }
 
-// notRun goes on after a send that surely didn't run.
-func (s *Sender) notRun(r *request, b *back, x conns.Result, sent bool) *final {
+// handleNotRun updates the request after an attempt that is guaranteed not to have run. It returns nil if another attempt
+// is allowed.
+func (s *Sender) handleNotRun(r *request, b *backend, x conns.Result, sent bool) *result {
 	if !sent && !errors.Is(x.Err, conns.ErrGuard) {
-		r.failed = append(r.failed, b.server.ID)
+		r.unreachable = append(r.unreachable, b.server.ID)
 	}
 	if !r.service.Keyed {
 		return nil
 	}
 	if sent {
-		r.again = s.o.Clock.Now().Add(refusedPause)
+		r.notBefore = s.o.Clock.Now().Add(ownerRefusalPause)
 	}
-	if len(r.tried) >= maxKeyedSends {
+	if len(r.sentTo) >= maxKeyedSends {
 		f := s.refuse(r, reasonMoving)
 		return &f
 	}
@@ -125,19 +128,20 @@
 }
 
 const (
-	// maxKeyedSends bounds the sends to holders of a key that don't know of it yet, or not any more.
+	// maxKeyedSends bounds the attempts for a key whose servers don't know yet that they own it, or no longer own it.
 	maxKeyedSends = 3
 
-	// refusedPause is how long a request waits after the holder of its key refused it: news of the next holder are a few
-	// milliseconds behind.
-	refusedPause = 30 * time.Millisecond
+	// ownerRefusalPause is how long a request waits after the owner of its key refused it: the update that names the next
+	// owner arrives a few milliseconds later.
+	ownerRefusalPause = 30 * time.Millisecond
 )
 
-// exchange makes one exchange; sent reports whether any of it may have reached the server.
-func (s *Sender) exchange(r *request, b *back, resp *fasthttp.Response) (x conns.Result, sent bool) {
+// exchange sends the request to the server and reads its response. sent reports whether any of the request may have reached
+// the server.
+func (s *Sender) exchange(r *request, b *backend, resp *fasthttp.Response) (x conns.Result, sent bool) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	s.fill(req, r, b)
+	s.buildRequest(req, r, b)
 	b.mu.Lock()
 	b.load.Mine++
 	b.mu.Unlock()
@@ -146,17 +150,17 @@
 		b.load.Mine--
 		b.mu.Unlock()
 	}()
-	// No suspicion of a connection that is silent while others are answered: the server may be at work on the request, and
-	// giving it up would cost its caller the answer when no other send is left.
+	// A connection without data is not suspected while others receive responses: the server may still be running the
+	// request, and aborting it would lose the caller's response when no further attempt is left.
 	x = b.pool.Do(r.ctx, conns.Call{
-		Deadline: s.o.Clock.Std(r.deadline), Settle: settle, Guard: func() bool { return s.maySend(r, b) },
+		Deadline: s.o.Clock.Std(r.deadline), Settle: settleTime, Guard: func() bool { return s.maySend(r, b) },
 	}, req, resp)
 	sent = x.Outcome != retry.NotRun || x.End == admit.EndRefused
 	return x, sent
 }
 
-// fill makes the request for the server out of the caller's.
-func (s *Sender) fill(req *fasthttp.Request, r *request, b *back) {
+// buildRequest fills req with the caller's request as the server is to receive it.
+func (s *Sender) buildRequest(req *fasthttp.Request, r *request, b *backend) {
 	r.req.Header.CopyTo(&req.Header)
 	req.Header.SetNoDefaultContentType(true)
 	req.Header.ResetConnectionClose()
@@ -167,15 +171,15 @@
 	if r.authEnabled {
 		s.setOrganisation(req, r)
 	}
-	left := r.deadline.Sub(s.o.Clock.Now())
-	req.Header.Set(s.o.Dialect.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	req.Header.Set(s.o.Dialect.Expect, string(b.server.ID))
+	remaining := r.deadline.Sub(s.o.Clock.Now())
+	req.Header.Set(s.o.Dialect.Deadline, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
+	req.Header.Set(s.o.Dialect.ExpectedServer, string(b.server.ID))
 	req.SetBodyRaw(r.req.Body())
 }
 
-// maySend is asked right before the first byte: the request may have waited for a connection, and the process may have
-// stood still, while the server was drained, its domain evacuated or the key given to another.
-func (s *Sender) maySend(r *request, b *back) bool {
+// maySend reports whether the request may still be sent, and is called right before its first byte. While the request waited
+// for a connection or the process was paused, the server may have been drained, its domain evacuated or the key reassigned.
+func (s *Sender) maySend(r *request, b *backend) bool {
 	now := s.o.Clock.Now()
 	snap := s.o.View.Snapshot()
 	x := snap.Servers[b.server.ID]
@@ -186,7 +190,7 @@
 	if route == nil || !route.Sends(r.service.Name) || !r.stillAuthorised(route, snap.Config) {
 		return false
 	}
-	if r.crashes = s.crashes(r); r.crashes >= crash.RefusedFrom {
+	if r.knownCrashes = s.crashes(r); r.knownCrashes >= crash.RefusedFrom {
 		return false
 	}
 	if r.service.Keyed {
@@ -197,32 +201,33 @@
 	names := s.daemonNames(snap)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w, n, span := s.limit(b, x, r.service, names, now)
+	w, n, span := s.sendLimit(b, x, r.service, names, now)
 	return w == nil || w.Take(now, n, span)
 }
 
-// observe takes in what an exchange tells of the server.
-func (s *Sender) observe(r *request, b *back, x conns.Result, resp *fasthttp.Response, took time.Duration) {
+// observe updates the statistics of the server, route and service after an exchange.
+func (s *Sender) observe(r *request, b *backend, x conns.Result, resp *fasthttp.Response, took time.Duration) {
 	now := s.o.Clock.Now()
 	if x.Outcome == retry.Answered {
 		s.observeSize(r.route.Name, len(r.req.Body())+len(resp.Body()))
 	}
 	if d := b.observe(now, x, resp, took, s.o.Dialect); d > 0 {
-		s.observeUnit(b.server.Service, d)
+		s.observeServiceTime(b.server.Service, d)
 	}
 }
 
-// observe returns how long the request would have taken at a usual server, if it was undisturbed.
-func (b *back) observe(now mono.Time, x conns.Result, resp *fasthttp.Response, took time.Duration, d Dialect) time.Duration {
+// observe updates the server's state after an exchange. It returns the service time of the request at a server with
+// slowdown 1, or 0 if the request had to wait or the server was slowed by interference.
+func (b *backend) observe(now mono.Time, x conns.Result, resp *fasthttp.Response, took time.Duration, d Dialect) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var unit time.Duration
+	var serviceTime time.Duration
 	if x.Outcome == retry.Answered || x.End == admit.EndRefused {
 		if rep, ok := d.ParseLoad(resp.Header.Peek(d.Load)); ok {
-			b.report(now, rep)
+			b.observeLoad(now, rep)
 			if x.End == admit.EndAnswered && rep.Waiting == 0 && b.load.Undisturbed() {
-				unit = time.Duration(float64(took) / max(minPace, b.load.Own))
-				b.sample(unit)
+				serviceTime = time.Duration(float64(took) / max(minSlowdown, b.load.Own))
+				b.addSample(serviceTime)
 			}
 		}
 	}
@@ -230,42 +235,42 @@
 	case admit.EndAnswered:
 		b.load.Answered()
 	case admit.EndRefused, admit.EndOverloaded:
-		b.refused(now, resp)
+		b.observeRefusal(now, resp)
 	case admit.EndReset, admit.EndNoDial:
 		if x.Over {
-			b.load.Failed(now, avoidFull)
+			b.load.Failed(now, avoidWhenFull)
 			break
 		}
-		b.load.Failed(now, avoidFailed)
-		b.suspect = now.Add(suspectRestart)
+		b.load.Failed(now, avoidAfterFailure)
+		b.restartSuspectedUntil = now.Add(restartSuspicionTime)
 	case admit.EndTimeout, admit.EndSilent:
-		b.load.Failed(now, avoidFailed)
+		b.load.Failed(now, avoidAfterFailure)
 	case admit.EndFailed:
-		b.load.Failed(now, avoidFull)
+		b.load.Failed(now, avoidWhenFull)
 	}
-	return unit
+	return serviceTime
 }
 
-// refused takes in that the server answered without running the request. The holder of a key is left alone only where it
-// has no room, and never for longer after one refusal than after another: no other server can take the request, and one
-// that turns away half of its requests serves the other half.
-func (b *back) refused(now mono.Time, resp *fasthttp.Response) {
+// observeRefusal updates the server's state after a response that says that the request did not run. The owner of a key is
+// avoided only while it has no capacity, and for the same time after each refusal: no other server can take the request,
+// and an owner that refuses half of its requests still serves the other half.
+func (b *backend) observeRefusal(now mono.Time, resp *fasthttp.Response) {
 	switch {
-	case resp.StatusCode() == fasthttp.StatusMisdirectedRequest: // which is about the key, not the server
+	case resp.StatusCode() == fasthttp.StatusMisdirectedRequest: // concerns the key, not the server
 	case !b.keyed:
-		b.load.Failed(now, avoidFull)
+		b.load.Failed(now, avoidWhenFull)
 	case b.load.Full(now):
-		b.load.AvoidUntil = max(b.load.AvoidUntil, now.Add(avoidFull))
+		b.load.AvoidUntil = max(b.load.AvoidUntil, now.Add(avoidWhenFull))
 	}
 }
 
-// minPace bounds a server's report of its pace, by which times are divided.
-const minPace = 0.1
+// minSlowdown is the lower bound for a reported slowdown, by which times are divided.
+const minSlowdown = 0.1
 
-// logSend tells of a send that got no answer.
-func (s *Sender) logSend(r *request, b *back, x conns.Result, resp *fasthttp.Response, took time.Duration) {
+// logFailedSend logs an attempt that ended without a usable response.
+func (s *Sender) logFailedSend(r *request, b *backend, x conns.Result, resp *fasthttp.Response, took time.Duration) {
 	e := s.o.Log.Info().Err(x.Err).Str("request-id", string(r.id)).Str("server", string(b.server.ID)).
-		Str("end", x.End.String()).Dur("took", took).Int("sends", len(r.tried))
+		Str("end", x.End.String()).Dur("took", took).Int("sends", len(r.sentTo))
 	if x.End == admit.EndRefused {
 		e.Int("status", resp.StatusCode())
 	}
--- a/io/send/back.go
+++ b/io/send/back.go
@@ -18,190 +18,190 @@
 	"heatherrouter/io/wire"
 )
 
-// backKey names one life of a server at one address.
-type backKey struct {
+// backendKey identifies one incarnation of a backend server at one address.
+type backendKey struct {
 	id   ident.Server
 	born int64
 	addr netip.AddrPort
 }
 
-func keyOf(x *site.Server) backKey {
-	return backKey{id: x.ID, born: x.Born, addr: x.Addr}
+func backendKeyOf(x *site.Server) backendKey {
+	return backendKey{id: x.ID, born: x.Born, addr: x.Addr}
 }
 
-// back is one life of a backend server as this daemon sees it.
-type back struct {
+// backend is this daemon's state of one incarnation of a backend server.
+type backend struct {
 	server *site.Server
 	pool   *conns.Pool
 
-	mu        sync.Mutex
-	load      choice.Load
-	cold      pace.Window // of requests while it is cold
-	keyed     bool
-	samples   []uint32 // of the time of undisturbed requests, since the coordinator was last told
-	leastPace float64  // that it reported since then; 0 for no report
+	mu             sync.Mutex
+	load           choice.Load
+	coldWindow     pace.Window // requests sent while the server is cold
+	keyed          bool
+	samples        []uint32 // service times without interference since the last report to the coordinator, in units of choice.SampleUnit
+	lowestSlowdown float64  // lowest slowdown that the server reported since then; 0 for no report
 
-	suspect mono.Time   // until when the server may have started again, and be cold, without having said so
-	again   pace.Window // of requests in that time
+	restartSuspectedUntil mono.Time   // until then the server may have restarted, and be cold, without having announced it
+	restartWindow         pace.Window // requests sent in that time
 }
 
 const (
 	dialTimeout = 250 * time.Millisecond
 
-	// maxAnswer bounds an answer held in memory, in bytes.
-	maxAnswer = 32 << 20
+	// maxResponseBytes bounds the body of a response, which is held in memory.
+	maxResponseBytes = 32 << 20
 
-	// maxConns bounds the connections to one server, which accepts a limited number from all daemons together.
+	// maxConns bounds the connections to one server, which accepts a limited total from all daemons.
 	maxConns = 64
 )
 
-// back returns the state of a server's life, made when it is first asked for.
-func (s *Sender) back(x *site.Server) *back {
+// backend returns the state of a server's incarnation, which it creates on first use.
+func (s *Sender) backend(x *site.Server) *backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := keyOf(x)
-	b := s.backs[k]
+	k := backendKeyOf(x)
+	b := s.backends[k]
 	if b == nil {
-		b = &back{server: x, load: choice.Load{Slots: x.Slots}}
+		b = &backend{server: x, load: choice.Load{Slots: x.Slots}}
 		b.pool = conns.New(conns.Options{
-			Addr: x.Addr, MaxConns: maxConns, DialTimeout: dialTimeout, ProbeEvery: conns.NoProbes, MaxBody: maxAnswer,
+			Addr: x.Addr, MaxConns: maxConns, DialTimeout: dialTimeout, ProbeEvery: conns.NoProbes, MaxBody: maxResponseBytes,
 			Names: s.names, Unframed: true,
 		})
-		s.backs[k] = b
+		s.backends[k] = b
 	}
 	return b
 }
 
-// Prune closes the connections to servers that are gone.
+// Prune discards the state of server incarnations that are no longer in the snapshot and closes their idle connections.
 func (s *Sender) Prune() {
 	snap := s.o.View.Snapshot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.backs, func(k backKey, b *back) bool {
+	maps.DeleteFunc(s.backends, func(k backendKey, b *backend) bool {
 		x := snap.Servers[k.id]
-		if x != nil && keyOf(x) == k {
+		if x != nil && backendKeyOf(x) == k {
 			return false
 		}
-		_ = b.pool.Close() // ends idle connections; those in use end with their requests
+		_ = b.pool.Close() // closes idle connections; those in use are closed after their requests
 		return true
 	})
 }
 
-// daemonNames lists the daemons that share what is bounded for all together.
+// daemonNames returns the sorted names of the daemons, which share the limits that apply to all daemons together.
 func (s *Sender) daemonNames(snap *site.Snapshot) []ident.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.listed != snap {
-		s.daemons, s.listed = slices.Sorted(maps.Keys(snap.Daemons)), snap
+	if s.daemonsOf != snap {
+		s.daemons, s.daemonsOf = slices.Sorted(maps.Keys(snap.Daemons)), snap
 	}
 	return s.daemons
 }
 
-// limit returns the window in which requests to the server are counted, how many it allows and for which span; nil when
-// the server is neither cold nor may be.
-func (s *Sender) limit(b *back, x *site.Server, v *site.Service, names []ident.Daemon, now mono.Time) (*pace.Window, int, time.Duration) {
+// sendLimit returns the window that counts requests to the server, the number of requests allowed and the time span in which
+// they are. The window is nil if the server is neither cold nor suspected of a restart. The caller holds b.mu.
+func (s *Sender) sendLimit(b *backend, x *site.Server, v *site.Service, names []ident.Daemon, now mono.Time) (*pace.Window, int, time.Duration) {
 	switch {
 	case now.Before(x.ColdUntil):
-		l := s.o.Cold
+		l := s.o.ColdLimit
 		l.Rate = v.WarmRate
-		return &b.cold, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdSpan
-	case now.Before(b.suspect):
-		return &b.again, 1, suspectPace
+		return &b.coldWindow, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdSpan
+	case now.Before(b.restartSuspectedUntil):
+		return &b.restartWindow, 1, restartProbeInterval
 	}
 	return nil, 0, 0
 }
 
-// bucket is keys that are counted together.
-type bucket struct {
+// keyBucket identifies a range of hold.BucketKeys keys of a service that are counted together.
+type keyBucket struct {
 	service ident.Service
-	n       uint32
+	index   uint32
 }
 
-// arrive counts the request.
-func (s *Sender) arrive(r *request) {
+// recordArrival counts the request for its service's retry budget and its key.
+func (s *Sender) recordArrival(r *request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget(r.service.Name).Arrive(r.arrived, s.o.Budget)
+	s.retryBudget(r.service.Name).Arrive(r.arrived, s.o.RetryLimit)
 	if r.service.Keyed && r.hasKey {
-		s.counts[bucket{service: r.service.Name, n: uint32(r.key) / hold.BucketKeys}]++
+		s.counts[keyBucket{service: r.service.Name, index: uint32(r.key) / hold.BucketKeys}]++
 	}
 }
 
-// budget returns the service's budget; the caller holds the lock.
-func (s *Sender) budget(n ident.Service) *pace.Budget {
-	b := s.budgets[n]
+// retryBudget returns the service's retry budget. The caller holds s.mu.
+func (s *Sender) retryBudget(n ident.Service) *pace.Budget {
+	b := s.retryBudgets[n]
 	if b == nil {
 		b = &pace.Budget{Since: s.started}
-		s.budgets[n] = b
+		s.retryBudgets[n] = b
 	}
 	return b
 }
 
-// takeMore pays for a send beyond the first.
-func (s *Sender) takeMore(r *request, now mono.Time) bool {
+// takeRetry takes a retry from the budget and reports whether it was available.
+func (s *Sender) takeRetry(r *request, now mono.Time) bool {
 	n := len(s.daemonNames(s.o.View.Snapshot()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget(r.service.Name).Take(now, n, s.o.Budget, r.back)
+	return s.retryBudget(r.service.Name).Take(now, n, s.o.RetryLimit, r.callerRetry)
 }
 
-// cameBack reports whether a request on the route, with so much of its caller's time left, was refused before.
-func (s *Sender) cameBack(r *site.Route, left time.Duration) bool {
+// isCallerRetry reports whether a request on the route with this remaining time is likely a caller's retry after a refusal.
+func (s *Sender) isCallerRetry(r *site.Route, remaining time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.waits[r.Name]
+	p := s.callerRetries[r.Name]
 	if p == nil {
 		p = &pace.Patience{}
-		s.waits[r.Name] = p
+		s.callerRetries[r.Name] = p
 	}
-	return p.CameBack(left)
+	return p.CameBack(remaining)
 }
 
-// Measures returns what the coordinator plans by, since it was last asked: requests by key, and the speed of servers that
-// hold keys.
-func (s *Sender) Measures() ([]*wire.KeyCount, []*wire.ServerWork) {
+// TakeMeasurements returns and resets the measurements that the coordinator plans by: requests by key, and the speed of
+// servers that own keys.
+func (s *Sender) TakeMeasurements() ([]*wire.KeyCount, []*wire.ServerWork) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := make([]*wire.KeyCount, 0, len(s.counts))
 	for b, n := range s.counts {
-		l = append(l, &wire.KeyCount{Service: string(b.service), Bucket: b.n, Requests: n})
+		l = append(l, &wire.KeyCount{Service: string(b.service), Bucket: b.index, Requests: n})
 	}
 	clear(s.counts)
 	var works []*wire.ServerWork
-	for _, b := range s.backs {
-		if w := b.measured(); w != nil {
+	for _, b := range s.backends {
+		if w := b.takeMeasurement(); w != nil {
 			works = append(works, w)
 		}
 	}
 	return l, works
 }
 
-// measured returns what was seen of the server's speed since it was last asked, or nil for nothing.
-func (b *back) measured() *wire.ServerWork {
+// takeMeasurement returns and resets the measurements of the server's speed, or returns nil if there are none.
+func (b *backend) takeMeasurement() *wire.ServerWork {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.keyed || b.leastPace == 0 {
+	if !b.keyed || b.lowestSlowdown == 0 {
 		return nil
 	}
 	w := &wire.ServerWork{
-		Service: string(b.server.Service), Server: string(b.server.ID), PacePercent: uint32(math.Round(100 * b.leastPace)),
+		Service: string(b.server.Service), Server: string(b.server.ID), PacePercent: uint32(math.Round(100 * b.lowestSlowdown)),
 		Took_100Us: b.samples,
 	}
-	b.samples, b.leastPace = nil, 0
+	b.samples, b.lowestSlowdown = nil, 0
 	return w
 }
 
-// report takes in a server's report of its load.
-func (b *back) report(now mono.Time, r Report) {
-	b.load.Report(now, r.Running, r.Waiting, r.Pace)
-	if b.leastPace == 0 || r.Pace < b.leastPace {
-		b.leastPace = r.Pace
+// observeLoad records a server's load report. The caller holds b.mu.
+func (b *backend) observeLoad(now mono.Time, r LoadReport) {
+	b.load.Report(now, r.Running, r.Waiting, r.Slowdown)
+	if b.lowestSlowdown == 0 || r.Slowdown < b.lowestSlowdown {
+		b.lowestSlowdown = r.Slowdown
 	}
 }
 
-// unpaid returns why a request isn't sent again that the budget has nothing left for. Where the server is full its callers
-// must not come back at once, as those of one may that turns requests away whatever its load.
-func (b *back) unpaid(now mono.Time) reason {
+// noRetryReason returns the reason for refusing a request when the retry budget is exhausted. Callers of a full server
+// must not retry at once; callers of a server that refuses requests regardless of its load may.
+func (b *backend) noRetryReason(now mono.Time) reason {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.load.Full(now) {
@@ -210,33 +210,33 @@
 	return reasonBudget
 }
 
-// maxSamples bounds the samples kept for a coordinator that doesn't ask.
+// maxSamples bounds the samples of a server while the coordinator doesn't collect them.
 const maxSamples = 64
 
-// sample keeps how long an undisturbed request took, as it would at a usual server.
-func (b *back) sample(d time.Duration) {
+// addSample records the service time of a request at a server with slowdown 1. The caller holds b.mu.
+func (b *backend) addSample(d time.Duration) {
 	if b.keyed && len(b.samples) < maxSamples {
 		b.samples = append(b.samples, uint32(min(d/choice.SampleUnit, math.MaxUint32))) //nolint:gosec // bounded
 	}
 }
 
-// unit returns how long the service's requests take at a usual server; 0 while unknown.
-func (s *Sender) unit(n ident.Service) time.Duration {
+// serviceTime returns the service time of the service's requests at a server with slowdown 1; 0 while unknown.
+func (s *Sender) serviceTime(n ident.Service) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if q := s.units[n]; q != nil {
+	if q := s.serviceTimes[n]; q != nil {
 		return time.Duration(q.Q)
 	}
 	return 0
 }
 
-func (s *Sender) observeUnit(n ident.Service, d time.Duration) {
+func (s *Sender) observeServiceTime(n ident.Service, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	q := s.units[n]
+	q := s.serviceTimes[n]
 	if q == nil {
 		q = &choice.Quantile{P: choice.UnitQuantile}
-		s.units[n] = q
+		s.serviceTimes[n] = q
 	}
 	q.Add(float64(d))
 }
--- a/io/send/caller.go
+++ b/io/send/caller.go
@@ -67,7 +67,7 @@
 
 // authenticate looks up the caller's organisation in the configuration. It must run after the route lookup, so that requests
 // without a route are answered 404 whatever their credential.
-func (s *Sender) authenticate(r *request, c *site.Config) *final {
+func (s *Sender) authenticate(r *request, c *site.Config) *result {
 	r.organisation, r.authEnabled = nil, c.HasOrganisations()
 	if !r.authEnabled {
 		return nil
@@ -79,29 +79,29 @@
 	case r.route.AllowAnonymous:
 		return nil
 	case r.credential.state == credentialMalformed:
-		return &final{status: fasthttp.StatusBadRequest, outcome: notRun, reason: "malformed-credential"}
+		return &result{status: fasthttp.StatusBadRequest, outcome: outcomeNotRun, reason: "malformed-credential"}
 	case r.credential.state == credentialMissing:
-		return &final{status: fasthttp.StatusUnauthorized, outcome: notRun, reason: "no-credential"}
+		return &result{status: fasthttp.StatusUnauthorized, outcome: outcomeNotRun, reason: "no-credential"}
 	case s.o.MaxCopyAge > 0 && s.o.View.CopyAge() > s.o.MaxCopyAge:
-		return &final{
-			status: fasthttp.StatusServiceUnavailable, outcome: notRun, reason: "configuration-too-old", retryAfter: retryNoServer,
+		return &result{
+			status: fasthttp.StatusServiceUnavailable, outcome: outcomeNotRun, reason: "configuration-too-old", retryAfter: retryNoServer,
 		}
 	case r.organisation != nil:
 		return nil
 	default:
-		return &final{status: fasthttp.StatusUnauthorized, outcome: notRun, reason: "unknown-credential"}
+		return &result{status: fasthttp.StatusUnauthorized, outcome: outcomeNotRun, reason: "unknown-credential"}
 	}
 }
 
 // matchWithRefresh matches the request and, if its key is unknown, refreshes the configuration and retries once. A caller may
 // use a new key before this daemon has received the configuration that adds it.
-func (s *Sender) matchWithRefresh(r *request, snap *site.Snapshot) *final {
+func (s *Sender) matchWithRefresh(r *request, snap *site.Snapshot) *result {
 	f := s.match(r, snap)
 	if f == nil || f.status != fasthttp.StatusUnauthorized || r.credential.state != credentialPresent {
 		return f
 	}
 	s.mu.Lock()
-	refresh := s.unknown.shouldRefresh(s.o.Clock.Now(), r.credential.digest)
+	refresh := s.unknownKeys.shouldRefresh(s.o.Clock.Now(), r.credential.digest)
 	s.mu.Unlock()
 	if !refresh || !s.o.View.Refresh(r.caller) {
 		return f
@@ -171,7 +171,7 @@
 }
 
 // acquireToken counts the request against its organisation's limit, once regardless of retries.
-func (s *Sender) acquireToken(r *request) *final {
+func (s *Sender) acquireToken(r *request) *result {
 	o := r.organisation
 	if o == nil || !o.Limit.Limited() || r.token == o.Name {
 		return nil
@@ -182,14 +182,14 @@
 		return nil
 	}
 	if x.Limited {
-		return &final{status: fasthttp.StatusTooManyRequests, outcome: notRun, reason: "over-limit", retryAfter: x.RetryAfter}
+		return &result{status: fasthttp.StatusTooManyRequests, outcome: outcomeNotRun, reason: "over-limit", retryAfter: x.RetryAfter}
 	}
-	return &final{status: fasthttp.StatusServiceUnavailable, outcome: notRun, reason: "limit-unknown", retryAfter: x.RetryAfter}
+	return &result{status: fasthttp.StatusServiceUnavailable, outcome: outcomeNotRun, reason: "limit-unknown", retryAfter: x.RetryAfter}
 }
 
 // releaseToken returns the token of a request that is known not to have run.
-func (s *Sender) releaseToken(r *request, f final) {
-	if r.token != "" && f.outcome == notRun {
+func (s *Sender) releaseToken(r *request, f result) {
+	if r.token != "" && f.outcome == outcomeNotRun {
 		s.o.Limiter.Return(r.token)
 	}
 }
--- a/io/send/caller_test.go
+++ b/io/send/caller_test.go
@@ -140,7 +140,7 @@
 }
 
 // Guards against a flood of invalid keys causing a flood of requests to the coordinator.
-func TestUnknownKeysAreLookedForOnce(t *testing.T) {
+func TestUnknownKeyTriggersOneRefresh(t *testing.T) {
 	var u unknownKeys
 	now := mono.Time(time.Hour)
 	key := func(i int) site.KeyDigest { return site.DigestKey([]byte(strconv.Itoa(i))) }
@@ -169,7 +169,7 @@
 // Guards against accepting a revoked key on a disconnected daemon when strict revocation is enabled.
 func TestStrictRevocation(t *testing.T) {
 	c := configWithOrganisations(t, 1, organisationWithKey("creche", "key1"))
-	authenticate := func(path string, limit, age time.Duration) *final {
+	authenticate := func(path string, limit, age time.Duration) *result {
 		s := &Sender{o: Options{MaxCopyAge: limit, View: fixedAgeView{age: age}}}
 		r := &request{route: c.Route("x.example", path), credential: readCredential(parseHeader(t, "Authorization: Bearer key1"))}
 		return s.authenticate(r, c)
@@ -179,5 +179,5 @@
 	require.Nil(t, authenticate("/open/x", 5*time.Second, 6*time.Second))
 	f := authenticate("/x", 5*time.Second, 6*time.Second)
 	require.Equal(t, fasthttp.StatusServiceUnavailable, f.status)
-	require.Equal(t, notRun, f.outcome)
+	require.Equal(t, outcomeNotRun, f.outcome)
 }
--- a/io/send/choose.go
+++ b/io/send/choose.go
@@ -12,96 +12,96 @@
 	"heatherrouter/core/site"
 )
 
-// reason is why there is no server to send to now; kebab case.
+// reason says why there is no server to send a request to, in kebab case for responses, metrics and logs.
 type reason string
 
 const (
 	reasonStopping reason = "daemon-stopping"
 	reasonNoServer reason = "no-server"
 	reasonNoKey    reason = "no-key"
-	reasonBusy     reason = "key-busy"    // its holder gets more than it carries
-	reasonMoving   reason = "keys-moving" // nobody holds the request's key at this moment
-	reasonLost     reason = "keys-lost"   // nor will anybody for a while
+	reasonBusy     reason = "key-busy"    // the key's owner gets more requests than it can handle
+	reasonMoving   reason = "keys-moving" // the request's key has no owner at the moment
+	reasonLost     reason = "keys-lost"   // the request's key has no owner until the grants of a lost server expire
 	reasonCold     reason = "servers-cold"
 	reasonFull     reason = "no-room"
-	reasonTried    reason = "all-tried"
+	reasonAllTried reason = "all-tried"
 	reasonAttempts reason = "no-attempts-left"
 	reasonBudget   reason = "no-retry-budget"
-	reasonDeadly   reason = "crashes-servers" // too many servers crashed under it
+	reasonCrashing reason = "crashes-servers" // too many servers crashed while running the request
 )
 
-// near returns how much longer a request on the route may take in the own failure domain.
-func (s *Sender) near(r *site.Route) time.Duration {
+// localityBonus returns how much longer a request on the route may take at a server in the daemon's own failure domain.
+func (s *Sender) localityBonus(r *site.Route) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return choice.NearGain(s.sizes[r.Name], r.Target)
+	return choice.NearGain(s.meanSizes[r.Name], r.Target)
 }
 
-// observeSize follows the mean size of the requests on a route with their answers, in bytes. Routes of one service may be
-// for downloads and for small answers.
+// observeSize updates the moving average of the size of requests plus responses on a route, in bytes. It is kept by route, as
+// one service may have a route for downloads and one for small responses.
 func (s *Sender) observeSize(n string, size int) {
-	const share = 0.05 // of one answer, so that a single large one counts little
+	const weight = 0.05 // of one exchange, so that a single large response has little effect
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sizes[n] == 0 {
-		s.sizes[n] = float64(size)
+	if s.meanSizes[n] == 0 {
+		s.meanSizes[n] = float64(size)
 	}
-	s.sizes[n] += (float64(size) - s.sizes[n]) * share
+	s.meanSizes[n] += (float64(size) - s.meanSizes[n]) * weight
 }
 
-// choose finds the server for the next send, or says why there is none.
-func (s *Sender) choose(r *request, snap *site.Snapshot, now mono.Time) (*back, reason) {
+// choose returns the server for the next attempt, or the reason why there is none.
+func (s *Sender) choose(r *request, snap *site.Snapshot, now mono.Time) (*backend, reason) {
 	if r.service.Keyed {
 		return s.owner(r, snap, now)
 	}
-	if len(r.tried) >= r.route.Attempts {
+	if len(r.sentTo) >= r.route.Attempts {
 		return nil, reasonAttempts
 	}
 	var l []choice.Candidate
-	var backs []*back
-	usual := s.usual(snap, r.service.Name)
+	var backends []*backend
+	subset := s.subset(snap, r.service.Name)
 	why := reasonNoServer
 	for _, x := range snap.Service(r.service.Name) {
 		if !snap.Takes(x) {
 			continue
 		}
-		if slices.Contains(r.tried, x.ID) || slices.Contains(r.failed, x.ID) {
-			why = reasonTried
+		if slices.Contains(r.sentTo, x.ID) || slices.Contains(r.unreachable, x.ID) {
+			why = reasonAllTried
 			continue
 		}
-		b := s.back(x)
-		if !s.mayTake(b, x, snap, r.service, now) {
+		b := s.backend(x)
+		if !s.allowsSend(b, x, snap, r.service, now) {
 			why = reasonCold
 			continue
 		}
 		b.mu.Lock()
 		load := b.load
 		b.mu.Unlock()
-		l = append(l, choice.Candidate{Load: &load, Near: x.Domain == s.o.Domain, Usual: usual[x.ID]})
-		backs = append(backs, b)
+		l = append(l, choice.Candidate{Load: &load, Near: x.Domain == s.o.Domain, Usual: subset[x.ID]})
+		backends = append(backends, b)
 	}
-	i, ok := choice.Pick(now, l, s.unit(r.service.Name), s.near(r.route), rand.IntN)
+	i, ok := choice.Pick(now, l, s.serviceTime(r.service.Name), s.localityBonus(r.route), rand.IntN)
 	if !ok {
 		return nil, why
 	}
-	return backs[i], ""
+	return backends[i], ""
 }
 
-// usual returns the servers of a service that this daemon sends to as a rule: some of its own failure domain, which only
-// the daemons there choose among, and some of all.
-func (s *Sender) usual(snap *site.Snapshot, n ident.Service) map[ident.Server]bool {
+// subset returns the servers of a service that this daemon normally sends to: a subset of the servers in its own failure
+// domain, which are divided only among the daemons there, and a subset of all servers.
+func (s *Sender) subset(snap *site.Snapshot, n ident.Service) map[ident.Server]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.usualOf != snap {
-		s.usualOf, s.usuals = snap, map[ident.Service]map[ident.Server]bool{}
+	if s.subsetsOf != snap {
+		s.subsetsOf, s.subsets = snap, map[ident.Service]map[ident.Server]bool{}
 	}
-	if m, ok := s.usuals[n]; ok {
+	if m, ok := s.subsets[n]; ok {
 		return m
 	}
 	m := map[ident.Server]bool{}
-	s.usuals[n] = m
+	s.subsets[n] = m
 	if self := snap.Daemons[s.o.Self]; self == nil {
-		return m // nobody counts on this daemon yet
+		return m // other daemons don't count this one yet
 	}
 	servers := slices.DeleteFunc(slices.Clone(snap.Service(n)), func(x *site.Server) bool { return !snap.Takes(x) })
 	daemons := slices.Sorted(maps.Keys(snap.Daemons))
@@ -118,28 +118,28 @@
 	}
 }
 
-// mayTake reports whether the pace of a cold server allows a request now.
-func (s *Sender) mayTake(b *back, x *site.Server, snap *site.Snapshot, v *site.Service, now mono.Time) bool {
+// allowsSend reports whether the request limit of a cold or possibly restarted server allows a request now.
+func (s *Sender) allowsSend(b *backend, x *site.Server, snap *site.Snapshot, v *site.Service, now mono.Time) bool {
 	names := s.daemonNames(snap)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w, n, span := s.limit(b, x, v, names, now)
+	w, n, span := s.sendLimit(b, x, v, names, now)
 	return w == nil || w.Allows(now, n, span)
 }
 
-// owner returns the server that holds the request's key.
-func (s *Sender) owner(r *request, snap *site.Snapshot, now mono.Time) (*back, reason) {
+// owner returns the server that owns the request's key, or the reason why it can't be used.
+func (s *Sender) owner(r *request, snap *site.Snapshot, now mono.Time) (*backend, reason) {
 	if !r.hasKey {
 		return nil, reasonNoKey
 	}
-	if now.Before(r.again) {
+	if now.Before(r.notBefore) {
 		return nil, reasonMoving
 	}
 	h := s.o.View.Holds().Find(r.service.Name, r.key)
 	if h.Lost {
 		return nil, reasonLost
 	}
-	if h.Admit > 0 && r.lot >= int(h.Admit) {
+	if h.Admit > 0 && r.admitDraw >= int(h.Admit) {
 		return nil, reasonBusy
 	}
 	id := h.Server
@@ -147,11 +147,11 @@
 	if x == nil || !snap.Takes(x) {
 		return nil, reasonMoving
 	}
-	if !slices.Contains(r.tried, id) && distinct(r.tried) >= r.route.Attempts {
+	if !slices.Contains(r.sentTo, id) && distinct(r.sentTo) >= r.route.Attempts {
 		return nil, reasonAttempts
 	}
-	b := s.back(x)
-	if !s.mayTake(b, x, snap, r.service, now) {
+	b := s.backend(x)
+	if !s.allowsSend(b, x, snap, r.service, now) {
 		return nil, reasonCold
 	}
 	b.mu.Lock()
@@ -163,19 +163,19 @@
 	return b, ""
 }
 
-// crowded reports whether to refuse the request instead of sending it to the chosen server.
+// shouldShed reports whether to refuse the request instead of sending it to the chosen server.
 //
-// One that is expected to miss its deadline would take the place of one that can still make it. And where a server is
-// full, a queue that is longer than needed to keep it busy serves nobody more, but everybody late: a key that gets more
-// requests than its server carries would have all of them late, instead of the excess refused at once.
-func (s *Sender) crowded(r *request, b *back, now mono.Time) bool {
-	unit := s.unit(r.service.Name)
+// A request that is expected to miss its deadline would displace one that can still meet it. At a full server, a queue longer
+// than needed to keep it busy adds latency without throughput: for a key with more requests than its server can handle, all
+// would be late, instead of the excess being refused at once.
+func (s *Sender) shouldShed(r *request, b *backend, now mono.Time) bool {
+	serviceTime := s.serviceTime(r.service.Name)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.load.Full(now) {
 		return false
 	}
-	expected := b.load.Expect(now, unit)
+	expected := b.load.Expect(now, serviceTime)
 	target := max(r.route.Target, r.route.Timeout/4)
 	return now.Add(expected) > min(r.arrived.Add(target), r.deadline)
 }
@@ -190,16 +190,16 @@
 	return n
 }
 
-// waitStep is how often a request looks whether the reason for its wait has passed, when no change tells it.
-const waitStep = 40 * time.Millisecond
+// waitPollInterval is how often a waiting request is checked again when no change of the view wakes it.
+const waitPollInterval = 40 * time.Millisecond
 
-// wait waits for what keeps the request from being sent, if that is likely to pass in time; it reports whether to look
-// again.
-func (s *Sender) wait(r *request, why reason, now mono.Time) bool {
+// waitForChange waits for a change of the view, at most waitPollInterval, if the reason is likely to pass in time. It reports
+// whether to choose again.
+func (s *Sender) waitForChange(r *request, why reason, now mono.Time) bool {
 	if why != reasonMoving && why != reasonCold {
 		return false
 	}
-	// Half of its time is left for the work. A planned move of keys takes as long as the longest request under way.
+	// Half of the request's time is left for running it. A planned move of keys takes as long as the longest running request.
 	until := r.arrived.Add(r.deadline.Sub(r.arrived) / 2)
 	if !now.Before(until) {
 		return false
@@ -207,7 +207,7 @@
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
 	changed := s.o.View.Changed()
-	t := time.NewTimer(min(waitStep, until.Sub(now)))
+	t := time.NewTimer(min(waitPollInterval, until.Sub(now)))
 	defer t.Stop()
 	select {
 	case <-changed:
--- a/io/send/final.go
+++ b/io/send/final.go
@@ -9,61 +9,61 @@
 	"heatherrouter/core/ident"
 )
 
-// final is how a request ends.
-type final struct {
+// result is the final result of a request.
+type result struct {
 	status     int
 	outcome    outcome
 	reason     string
 	retryAfter time.Duration
-	answer     *fasthttp.Response // of the server, or nil
+	response   *fasthttp.Response // the server's response; nil if the daemon produces its own
 }
 
-// outcome is what is certain about a request; kebab case, for metrics and logs.
+// outcome says what is certain about the run of a request, in kebab case for metrics and logs.
 type outcome string
 
 const (
-	answered outcome = "answered"
-	notRun   outcome = "not-run"
-	unknown  outcome = "unknown"
-	left     outcome = "caller-left"
+	outcomeAnswered   outcome = "answered"
+	outcomeNotRun     outcome = "not-run"
+	outcomeUnknown    outcome = "unknown"
+	outcomeCallerLeft outcome = "caller-left"
 )
 
 const (
-	// retryStarting is for callers of a daemon that has just started; it knows its site in well under a second.
+	// retryStarting is sent to callers of a daemon that has just started: it loads its configuration in well under a second.
 	retryStarting = 200 * time.Millisecond
 
-	// retryNoServer is for callers of a service without any server to send to.
+	// retryNoServer is sent to callers of a service that has no server available.
 	retryNoServer = 300 * time.Millisecond
 
-	// retryLost is for callers whose keys wait for the grants of a lost server to lapse, which takes up to 4 s from its loss.
+	// retryLost is sent to callers whose keys have no owner until the grants of a lost server expire, up to 4 s after its loss.
 	retryLost = time.Second
 
-	// retryFull is for callers whose request found no room: queues of servers are shorter than this.
+	// retryFull is sent to callers whose request found no free capacity: servers' queues take less time than this.
 	retryFull = 150 * time.Millisecond
 
-	// retryFailing is for callers whose request met a server that turns away some of its requests whatever its load: later
-	// it would do no better, and the sooner it comes back the more time is left.
-	retryFailing = 30 * time.Millisecond
+	// retryRefusing is sent to callers whose server refuses some requests regardless of its load: a later retry is no more
+	// likely to succeed, and an early one leaves more of the caller's time.
+	retryRefusing = 30 * time.Millisecond
 )
 
-// expired ends a request whose time is over.
-func (s *Sender) expired(r *request) final {
-	if r.answer != nil {
-		return final{status: r.answer.StatusCode(), outcome: answered, reason: "failed", answer: r.answer}
+// refuseExpired returns the result of a request whose deadline has passed.
+func (s *Sender) refuseExpired(r *request) result {
+	if r.response != nil {
+		return result{status: r.response.StatusCode(), outcome: outcomeAnswered, reason: "failed", response: r.response}
 	}
-	if r.maybe {
-		return final{status: fasthttp.StatusGatewayTimeout, outcome: unknown, reason: "timeout"}
+	if r.mayHaveRun {
+		return result{status: fasthttp.StatusGatewayTimeout, outcome: outcomeUnknown, reason: "timeout"}
 	}
-	return final{status: fasthttp.StatusServiceUnavailable, outcome: notRun, reason: "timeout", retryAfter: retryFull}
+	return result{status: fasthttp.StatusServiceUnavailable, outcome: outcomeNotRun, reason: "timeout", retryAfter: retryFull}
 }
 
-// refuse ends a request that can't be served now.
-func (s *Sender) refuse(r *request, why reason) final {
-	if r.answer != nil {
-		return final{status: r.answer.StatusCode(), outcome: answered, reason: "failed", answer: r.answer}
+// refuse returns the result of a request that no further attempt is made for.
+func (s *Sender) refuse(r *request, why reason) result {
+	if r.response != nil {
+		return result{status: r.response.StatusCode(), outcome: outcomeAnswered, reason: "failed", response: r.response}
 	}
-	if r.maybe {
-		return final{status: fasthttp.StatusBadGateway, outcome: unknown, reason: string(why)}
+	if r.mayHaveRun {
+		return result{status: fasthttp.StatusBadGateway, outcome: outcomeUnknown, reason: string(why)}
 	}
 	after := retryNoServer
 	switch why {
@@ -72,23 +72,23 @@
 	case reasonLost:
 		after = retryLost
 	case reasonBudget:
-		after = retryFailing
-	case reasonDeadly:
-		after = retryDeadly
+		after = retryRefusing
+	case reasonCrashing:
+		after = retryCrashing
 	}
-	return final{status: fasthttp.StatusServiceUnavailable, outcome: notRun, reason: string(why), retryAfter: after}
+	return result{status: fasthttp.StatusServiceUnavailable, outcome: outcomeNotRun, reason: string(why), retryAfter: after}
 }
 
-// respond writes the final answer.
-func (s *Sender) respond(r *request, f final, resp *fasthttp.Response) {
+// respond writes the final response.
+func (s *Sender) respond(r *request, f result, resp *fasthttp.Response) {
 	resp.Header.SetNoDefaultContentType(true)
-	if f.answer != nil {
-		copyAnswer(f.answer, resp)
-		fasthttp.ReleaseResponse(f.answer)
+	if f.response != nil {
+		copyResponse(f.response, resp)
+		fasthttp.ReleaseResponse(f.response)
 		return
 	}
 	if f.status == 0 {
-		resp.SetStatusCode(fasthttp.StatusBadGateway) // nobody reads it
+		resp.SetStatusCode(fasthttp.StatusBadGateway) // not read: the caller has disconnected
 		return
 	}
 	resp.SetStatusCode(f.status)
@@ -103,8 +103,8 @@
 	resp.SetBodyString(f.reason + "\n")
 }
 
-// copyAnswer moves a server's answer over, without the headers that concern its connection.
-func copyAnswer(from, to *fasthttp.Response) {
+// copyResponse moves a server's response into the caller's, without the hop-by-hop headers.
+func copyResponse(from, to *fasthttp.Response) {
 	from.Header.CopyTo(&to.Header)
 	to.Header.SetNoDefaultContentType(true)
 	to.Header.ResetConnectionClose()
@@ -116,14 +116,14 @@
 	to.SwapBody(body)
 }
 
-// hopHeaders concern one connection and are not passed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	fasthttp.HeaderConnection, "Keep-Alive", fasthttp.HeaderTransferEncoding, fasthttp.HeaderTrailer,
 	fasthttp.HeaderUpgrade, fasthttp.HeaderTE, "Proxy-Connection",
 }
 
-// account counts and logs how the request ended.
-func (s *Sender) account(r *request, f final) {
+// recordOutcome counts the request's result and logs it unless the request succeeded.
+func (s *Sender) recordOutcome(r *request, f result) {
 	took := s.o.Clock.Now().Sub(r.arrived)
 	service, route := "", ""
 	if r.route != nil {
@@ -133,23 +133,23 @@
 		service = string(r.service.Name)
 	}
 	s.o.Counter.Answered(ident.Service(service), route, string(f.outcome), f.reason, took)
-	if f.outcome == answered && f.reason == "" {
+	if f.outcome == outcomeAnswered && f.reason == "" {
 		return
 	}
 	e := s.o.Log.Info().Str("request-id", string(r.id)).Str("route", route).Str("service", service).
 		Int("status", f.status).Str("outcome", string(f.outcome)).Str("reason", f.reason).Dur("took", took).
-		Int("sends", len(r.tried))
+		Int("sends", len(r.sentTo))
 	if r.hasKey {
 		e.Uint16("key", uint16(r.key))
 	}
 	if f.status == fasthttp.StatusUnauthorized || f.status == fasthttp.StatusTooManyRequests {
 		s.logCaller(r, e)
 	}
-	if r.named {
-		e.Str("fingerprint", r.name.String())
+	if r.hasFingerprint {
+		e.Str("fingerprint", r.cachedFingerprint.String())
 	}
-	if n := len(r.tried); n > 0 {
-		e.Str("last-server", string(r.tried[n-1]))
+	if n := len(r.sentTo); n > 0 {
+		e.Str("last-server", string(r.sentTo[n-1]))
 	}
 	e.Msg("request ended")
 }
--- a/io/send/guard.go
+++ b/io/send/guard.go
@@ -14,29 +14,29 @@
 	"heatherrouter/io/conns"
 )
 
-// Guard tells which requests crash backend servers.
+// Guard detects requests that crash backend servers.
 type Guard interface {
-	Watches() bool                   // some request is suspected
-	Crashes(f crash.Fingerprint) int // servers that crashed under the request, one after the other
-	Answered(f crash.Fingerprint)    // a server ran it to an end
+	Watches() bool                   // whether any request is suspected
+	Crashes(f crash.Fingerprint) int // number of servers that crashed in succession while running the request
+	Answered(f crash.Fingerprint)    // records that a server completed the request
 
-	// Broke takes in that a run at the server broke off; the channel is closed once it is known whether the server has crashed.
+	// Broke records that a run at the server was interrupted. The channel is closed once it is known whether the server crashed.
 	Broke(x *site.Server, r crash.Run) <-chan struct{}
 }
 
 const (
-	// fingerprintBody bounds the part of a body that goes into a fingerprint, in bytes.
-	fingerprintBody = 64 << 10
+	// maxFingerprintBody is the length of the part of a body that is included in a fingerprint, in bytes.
+	maxFingerprintBody = 64 << 10
 
-	// retryDeadly is for callers of a request that is kept from servers: it is for as long as no server is to crash.
-	retryDeadly = 30 * time.Second
+	// retryCrashing is sent to callers of a crashing request. It is long, as each retry that reached a server could crash it.
+	retryCrashing = 30 * time.Second
 )
 
-// fingerprint returns what names the request among those of the same organisation and content. Addresses aren't part of it:
-// attempts of one caller may come by different ways.
+// fingerprint returns a hash of the request's organisation and content. It excludes network addresses, as a caller's retries
+// may arrive by different routes.
 func (r *request) fingerprint() crash.Fingerprint {
-	if r.named {
-		return r.name
+	if r.hasFingerprint {
+		return r.cachedFingerprint
 	}
 	h := sha256.New()
 	add := func(b []byte) {
@@ -55,16 +55,16 @@
 		add([]byte{byte(r.key >> 8), byte(r.key)})
 	}
 	body := r.req.Body()
-	add(body[:min(len(body), fingerprintBody)])
+	add(body[:min(len(body), maxFingerprintBody)])
 	var n [8]byte
 	binary.BigEndian.PutUint64(n[:], uint64(len(body)))
 	_, _ = h.Write(n[:])
-	copy(r.name[:], h.Sum(nil))
-	r.named = true
-	return r.name
+	copy(r.cachedFingerprint[:], h.Sum(nil))
+	r.hasFingerprint = true
+	return r.cachedFingerprint
 }
 
-// crashes returns how many servers crashed under the request, as far as is known.
+// crashes returns how many servers are known to have crashed while running the request.
 func (s *Sender) crashes(r *request) int {
 	if !s.o.Guard.Watches() {
 		return 0
@@ -72,28 +72,28 @@
 	return s.o.Guard.Crashes(r.fingerprint())
 }
 
-// deadly reports whether the request is kept from servers.
-func (s *Sender) deadly(r *request) bool { return s.crashes(r) >= crash.RefusedFrom }
+// isCrashing reports whether the request has crashed so many servers that it is no longer sent.
+func (s *Sender) isCrashing(r *request) bool { return s.crashes(r) >= crash.RefusedFrom }
 
-// guard takes in what an exchange tells of the request as one that may crash servers.
-func (s *Sender) guard(r *request, b *back, x conns.Result, resp *fasthttp.Response) {
+// reportToGuard reports an interrupted or completed run of the request to the guard.
+func (s *Sender) reportToGuard(r *request, b *backend, x conns.Result, resp *fasthttp.Response) {
 	switch {
 	case x.Outcome == retry.Unknown && x.End == admit.EndReset:
-		r.broke++
-		r.probed = s.o.Guard.Broke(b.server, crash.Run{Fingerprint: r.fingerprint(), Known: r.crashes})
+		r.interrupted++
+		r.crashKnown = s.o.Guard.Broke(b.server, crash.Run{Fingerprint: r.fingerprint(), Known: r.knownCrashes})
 	case x.Outcome == retry.Answered && resp.StatusCode() < fasthttp.StatusInternalServerError && s.o.Guard.Watches():
 		s.o.Guard.Answered(r.fingerprint())
 	}
 }
 
-// suspected reports whether no further server is risked for an attempt whose run broke off: one has crashed under the request
-// before. After its second such run the attempt waits until that is known.
-func (s *Sender) suspected(r *request) bool {
-	if r.broke > 1 {
+// suspectedOfCrash reports whether an interrupted request must not be retried because a server has crashed while running it.
+// From its second interrupted run on, the request waits until it is known whether the last server crashed.
+func (s *Sender) suspectedOfCrash(r *request) bool {
+	if r.interrupted > 1 {
 		t := time.NewTimer(r.deadline.Sub(s.o.Clock.Now()))
 		defer t.Stop()
 		select {
-		case <-r.probed:
+		case <-r.crashKnown:
 		case <-t.C:
 		case <-r.ctx.Done():
 		}
--- a/io/send/guard_test.go
+++ b/io/send/guard_test.go
@@ -12,7 +12,7 @@
 	"heatherrouter/core/site"
 )
 
-func deadlyRequest(change func(r *request)) crash.Fingerprint {
+func fingerprintOf(change func(r *request)) crash.Fingerprint {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetRequestURI("/swap/17?x=1")
@@ -23,17 +23,17 @@
 	return r.fingerprint()
 }
 
-// Guards against a proper request that is refused for one of another organisation or content, and against attempts of one request that pass
-// for several.
+// Guards against refusing a valid request because of one of another organisation or content, and against counting attempts of
+// one request as different requests.
 func TestFingerprintIsOfOrganisationAndContent(t *testing.T) {
-	base := deadlyRequest(func(*request) {})
+	base := fingerprintOf(func(*request) {})
 	for name, change := range map[string]func(r *request){
 		"another attempt":       func(r *request) { r.req.Header.Set("Request-Id", "b"); r.req.Header.Set("Accept", "*/*") },
 		"host in another case":  func(r *request) { r.host = "X.example" },
 		"another configuration": func(r *request) { r.route = &site.Route{Name: "moved"} },
 		"another cookie":        func(r *request) { r.req.Header.SetCookie("lang", "en") },
 	} {
-		require.Equal(t, base, deadlyRequest(change), name)
+		require.Equal(t, base, fingerprintOf(change), name)
 	}
 	seen := map[crash.Fingerprint]string{base: "base"}
 	for name, change := range map[string]func(r *request){
@@ -44,17 +44,17 @@
 		"query":        func(r *request) { r.req.Header.SetRequestURI("/swap/17?x=2") },
 		"key":          func(r *request) { r.key = hold.Key(8) },
 		"body":         func(r *request) { r.req.SetBodyString("who=bert") },
-		"long body":    func(r *request) { r.req.SetBody(bytes.Repeat([]byte("x"), fingerprintBody)) },
-		"longer":       func(r *request) { r.req.SetBody(bytes.Repeat([]byte("x"), fingerprintBody+1)) },
+		"long body":    func(r *request) { r.req.SetBody(bytes.Repeat([]byte("x"), maxFingerprintBody)) },
+		"longer":       func(r *request) { r.req.SetBody(bytes.Repeat([]byte("x"), maxFingerprintBody+1)) },
 	} {
-		f := deadlyRequest(change)
+		f := fingerprintOf(change)
 		require.Empty(t, seen[f], name)
 		seen[f] = name
 	}
 }
 
 func BenchmarkFingerprint(b *testing.B) {
-	for name, size := range map[string]int{"100B": 100, "64KiB": fingerprintBody} {
+	for name, size := range map[string]int{"100B": 100, "64KiB": maxFingerprintBody} {
 		b.Run(name, func(b *testing.B) {
 			req := fasthttp.AcquireRequest()
 			req.Header.SetRequestURI("/swap/17?x=1")
--- a/io/send/send.go
+++ b/io/send/send.go
@@ -1,8 +1,8 @@
-// Package send carries each caller's request to a backend server and its answer back.
+// Package send forwards callers' requests to backend servers and returns the responses.
 //
-// Every daemon sends by itself, by its own copy of the configuration, the servers and the holders of keys. What is
-// certain about a request decides what may follow: one that has surely not run is sent elsewhere or refused, one that
-// may have run is repeated only if it is idempotent.
+// Every daemon chooses servers independently, by its own copy of the configuration, the servers and the owners of keys. A
+// request that is guaranteed not to have run may be sent to another server or refused. One that may have run is retried only
+// if it is idempotent.
 package send
 
 import (
@@ -29,56 +29,56 @@
 	"heatherrouter/io/limit"
 )
 
-// Dialect is how callers and backend servers name what they tell about a request.
+// Dialect contains the names of the headers that callers, daemons and backend servers exchange.
 type Dialect struct {
-	RequestID  string // of one attempt of a caller, echoed by the server
-	Deadline   string // milliseconds that are left
-	Key        string // a whole number below hold.Keys
-	Expect     string // the id of the server that alone may run the request
-	NotRun     string // in answers: the server did not run the request
-	Signature  string // in answers: the server's own mark, without which a success isn't one
-	Load       string // in answers: see ParseLoad
-	RetryAfter string // in refusals: seconds, with fractions
+	RequestID      string // id of one attempt of a caller, echoed by the server
+	Deadline       string // remaining time in milliseconds
+	Key            string // integer below hold.Keys
+	ExpectedServer string // id of the only server that may run the request
+	NotRun         string // in responses: the server did not run the request
+	Signature      string // in responses: the server's signature, without which a success is not accepted
+	Load           string // in responses: the server's load, see ParseLoad
+	RetryAfter     string // in refusals: delay in seconds, with fractions
 
 	Organisation string // to servers: the caller's organisation; removed from what callers send
 
-	// ParseLoad reads a server's report of its load.
-	ParseLoad func(value []byte) (Report, bool)
+	// ParseLoad parses the value of the Load header.
+	ParseLoad func(value []byte) (LoadReport, bool)
 }
 
-// Report is what a server says of its load.
-type Report struct {
+// LoadReport is a server's report of its load.
+type LoadReport struct {
 	Running, Waiting int
-	Pace             float64 // how long work takes at this moment; 1 is as usual
+	Slowdown         float64 // current service time divided by the usual one; 1 is normal
 }
 
-// View is what the daemon knows.
+// View is the daemon's local copy of the configuration, the servers and the owners of keys.
 type View interface {
 	Snapshot() *site.Snapshot
 	Holds() *hold.Holds
 	Changed() <-chan struct{}
 	Refresh(c context.Context) bool // fetches changes from the coordinator; reports whether the snapshot may have changed
-	CopyAge() time.Duration         // for which the copy may be behind
+	CopyAge() time.Duration         // upper bound on how long the copy has been outdated
 }
 
-// Counter counts final answers.
+// Counter counts final responses.
 type Counter interface {
-	Answered(s ident.Service, kind, outcome, reason string, took time.Duration)
+	Answered(s ident.Service, route, outcome, reason string, took time.Duration)
 }
 
-// Options are what a Sender needs.
+// Options configure a Sender.
 type Options struct {
-	Self    ident.Daemon
-	Domain  ident.Domain
-	View    View
-	Dialect Dialect
-	Cold    pace.ColdLimit // Rate comes with the service
-	Budget  pace.BudgetLimit
-	Clock   *clock.Clock
-	Counter Counter
-	Limiter Limiter
-	Guard   Guard
-	Log     *log.Logger
+	Self       ident.Daemon
+	Domain     ident.Domain
+	View       View
+	Dialect    Dialect
+	ColdLimit  pace.ColdLimit // Rate is set from the service
+	RetryLimit pace.BudgetLimit
+	Clock      *clock.Clock
+	Counter    Counter
+	Limiter    Limiter
+	Guard      Guard
+	Log        *log.Logger
 
 	// MaxCopyAge is the maximum CopyAge at which keys are accepted. Beyond it, a key may have been revoked without this daemon
 	// knowing. 0 means no limit.
@@ -91,50 +91,50 @@
 	Return(n ident.Organisation)
 }
 
-// Sender sends requests.
+// Sender forwards requests to backend servers. It is safe for concurrent use.
 type Sender struct {
 	o       Options
 	names   conns.Names
 	started mono.Time
 
-	mu      sync.Mutex
-	backs   map[backKey]*back
-	budgets map[ident.Service]*pace.Budget
-	counts  map[bucket]uint32 // requests by key since the coordinator was last told
-	units   map[ident.Service]*choice.Quantile
-	sizes   map[string]float64        // mean bytes of a request and its answer, by route
-	waits   map[string]*pace.Patience // of callers, by route
-	splits  map[string]*choice.Split  // by route
-	usuals  map[ident.Service]map[ident.Server]bool
-	usualOf *site.Snapshot // that the usual servers were worked out from
-	unknown unknownKeys    // that recently triggered a refresh
-	daemons []ident.Daemon // of the snapshot that they were listed from
-	listed  *site.Snapshot
+	mu            sync.Mutex
+	backends      map[backendKey]*backend
+	retryBudgets  map[ident.Service]*pace.Budget
+	counts        map[keyBucket]uint32 // requests by keys since the last report to the coordinator
+	serviceTimes  map[ident.Service]*choice.Quantile
+	meanSizes     map[string]float64        // moving average of the bytes of a request and its response, by route
+	callerRetries map[string]*pace.Patience // by route
+	splitters     map[string]*choice.Split  // by route
+	subsets       map[ident.Service]map[ident.Server]bool
+	subsetsOf     *site.Snapshot // snapshot that subsets was computed from
+	unknownKeys   unknownKeys    // unknown keys that recently triggered a refresh
+	daemons       []ident.Daemon // sorted names
+	daemonsOf     *site.Snapshot // snapshot that daemons was listed from
 
 	waiting atomic.Int64
 
-	base   context.Context // ends when requests are given up for the daemon's end
-	giveUp context.CancelFunc
+	base  context.Context // cancelled when the daemon aborts its requests before it exits
+	abort context.CancelFunc
 }
 
-// New returns a sender without connections.
+// New returns a Sender without connections.
 func New(o Options) *Sender {
-	base, giveUp := context.WithCancel(context.Background())
+	base, abort := context.WithCancel(context.Background())
 	return &Sender{
-		base: base, giveUp: giveUp, o: o, started: o.Clock.Now(), names: conns.Names{RequestID: o.Dialect.RequestID, NotRun: o.Dialect.NotRun},
-		backs: map[backKey]*back{}, budgets: map[ident.Service]*pace.Budget{}, counts: map[bucket]uint32{},
-		units: map[ident.Service]*choice.Quantile{}, sizes: map[string]float64{},
-		waits: map[string]*pace.Patience{}, splits: map[string]*choice.Split{},
+		base: base, abort: abort, o: o, started: o.Clock.Now(), names: conns.Names{RequestID: o.Dialect.RequestID, NotRun: o.Dialect.NotRun},
+		backends: map[backendKey]*backend{}, retryBudgets: map[ident.Service]*pace.Budget{}, counts: map[keyBucket]uint32{},
+		serviceTimes: map[ident.Service]*choice.Quantile{}, meanSizes: map[string]float64{},
+		callerRetries: map[string]*pace.Patience{}, splitters: map[string]*choice.Split{},
 	}
 }
 
-// GiveUp ends all requests with a final answer, as the process is about to end: cut off without one, their callers would
-// learn of it only by the closed connection.
-func (s *Sender) GiveUp() {
-	s.giveUp()
+// AbortAll ends all requests with a final response before the process exits. Without one, their callers would only see a
+// closed connection.
+func (s *Sender) AbortAll() {
+	s.abort()
 }
 
-// request is one attempt of a caller on its way.
+// request is the state of one attempt of a caller.
 type request struct {
 	id       ident.Request
 	req      *fasthttp.Request
@@ -144,8 +144,8 @@
 	hasKey   bool
 	arrived  mono.Time
 	deadline mono.Time
-	caller   context.Context // ends when the caller has left
-	ctx      context.Context // ends the sends
+	caller   context.Context // cancelled when the caller disconnects
+	ctx      context.Context // cancels the exchanges with servers
 
 	route   *site.Route
 	service *site.Service
@@ -155,26 +155,26 @@
 	token        ident.Organisation // organisation whose token the request holds; empty for none
 	authEnabled  bool               // organisations are configured
 
-	tried  []ident.Server  // sent to, whatever came of it
-	failed []ident.Server  // couldn't be reached
-	again  mono.Time       // not to be sent before
-	maybe  bool            // some send may have run
-	broke  int             // sends whose runs broke off
-	probed <-chan struct{} // since the last of them, see Guard
-	back   bool            // its caller was refused before, as far as can be told
-	lot    int             // drawn once, below 100: whether it is among the share of a busy key's requests that is sent
-	answer *fasthttp.Response
+	sentTo      []ident.Server     // servers that the request was sent to, whatever the result
+	unreachable []ident.Server     // servers that could not be reached
+	notBefore   mono.Time          // time before which the request is not sent again
+	mayHaveRun  bool               // some attempt may have run
+	interrupted int                // number of interrupted runs
+	crashKnown  <-chan struct{}    // closed once it is known whether the last of them crashed its server; see Guard
+	callerRetry bool               // the request is likely a caller's retry after a refusal
+	admitDraw   int                // random number below 100, drawn once; requests for a busy key are sent if it is below the percentage admitted
+	response    *fasthttp.Response // last 5xx response of a server, used if no later attempt succeeds; nil for none
 
-	name    crash.Fingerprint // once it was needed
-	named   bool
-	crashes int // known when it was last sent
+	cachedFingerprint crash.Fingerprint // set if hasFingerprint
+	hasFingerprint    bool
+	knownCrashes      int // crashes known when the request was last sent
 }
 
-// Handle answers one request.
+// Handle forwards one request and writes the final response. The context is cancelled when the caller disconnects.
 func (s *Sender) Handle(c context.Context, req *fasthttp.Request, resp *fasthttp.Response) {
 	r := &request{
 		id: ident.Request(req.Header.Peek(s.o.Dialect.RequestID)), req: req, host: string(req.Header.Host()),
-		path: pathOf(req.Header.RequestURI()), arrived: s.o.Clock.Now(), caller: c, lot: rand.IntN(100),
+		path: pathOf(req.Header.RequestURI()), arrived: s.o.Clock.Now(), caller: c, admitDraw: rand.IntN(100),
 	}
 	var end context.CancelFunc
 	r.ctx, end = context.WithCancel(c)
@@ -184,10 +184,10 @@
 	stop()
 	end()
 	s.respond(r, f, resp)
-	s.account(r, f)
+	s.recordOutcome(r, f)
 }
 
-// pathOf cuts off the query.
+// pathOf returns the path of a URI without its query.
 func pathOf(uri []byte) string {
 	for i, b := range uri {
 		if b == '?' {
@@ -197,16 +197,16 @@
 	return string(uri)
 }
 
-// Waiting returns how many requests wait for something to change.
+// Waiting returns how many requests wait for an available server.
 func (s *Sender) Waiting() int {
 	return int(s.waiting.Load())
 }
 
-// begin finds the route; a non-nil final ends the request.
-func (s *Sender) begin(r *request) *final {
+// begin matches the request to a route and sets its deadline; a non-nil result ends the request.
+func (s *Sender) begin(r *request) *result {
 	snap := s.o.View.Snapshot()
 	if snap.Config == nil {
-		return &final{status: fasthttp.StatusServiceUnavailable, outcome: notRun, reason: "no-configuration", retryAfter: retryStarting}
+		return &result{status: fasthttp.StatusServiceUnavailable, outcome: outcomeNotRun, reason: "no-configuration", retryAfter: retryStarting}
 	}
 	if k, err := strconv.ParseUint(string(r.req.Header.Peek(s.o.Dialect.Key)), 10, 16); err == nil {
 		r.key, r.hasKey = hold.Key(k), true
@@ -216,28 +216,28 @@
 		return f
 	}
 	if r.id == "" {
-		return &final{status: fasthttp.StatusBadRequest, outcome: notRun, reason: "no-request-id"}
+		return &result{status: fasthttp.StatusBadRequest, outcome: outcomeNotRun, reason: "no-request-id"}
 	}
 	limit := r.route.Timeout
 	if ms, err := strconv.ParseFloat(string(r.req.Header.Peek(s.o.Dialect.Deadline)), 64); err == nil && ms >= 0 {
-		left := time.Duration(ms * float64(time.Millisecond))
-		limit = min(limit, left)
-		r.back = s.cameBack(r.route, left)
+		remaining := time.Duration(ms * float64(time.Millisecond))
+		limit = min(limit, remaining)
+		r.callerRetry = s.isCallerRetry(r.route, remaining)
 	}
 	r.deadline = r.arrived.Add(limit)
 	if !r.route.Idempotent {
-		// A request that must not run twice is seen through: cancelled halfway, nobody would know whether it ran.
+		// A request that must not run twice continues without its caller: if cancelled, it would be unknown whether it ran.
 		r.ctx = s.base
 	}
-	s.arrive(r)
+	s.recordArrival(r)
 	return nil
 }
 
-// match finds the route by the configuration in force now: a request that waited is sent as the newest one says.
-func (s *Sender) match(r *request, snap *site.Snapshot) *final {
+// match finds the route and service by the current configuration, and is repeated after each wait so that the latest applies.
+func (s *Sender) match(r *request, snap *site.Snapshot) *result {
 	r.route = snap.Config.Route(r.host, r.path)
 	if r.route == nil {
-		return &final{status: fasthttp.StatusNotFound, outcome: notRun, reason: "no-route"}
+		return &result{status: fasthttp.StatusNotFound, outcome: outcomeNotRun, reason: "no-route"}
 	}
 	if f := s.authenticate(r, snap.Config); f != nil {
 		return f
@@ -246,36 +246,36 @@
 	if r.service != nil && r.route.Sends(r.service.Name) {
 		n = r.service.Name
 	} else {
-		n = s.part(r, snap)
+		n = s.choosePart(r, snap)
 	}
 	r.service = snap.Config.Services[n]
 	return nil
 }
 
-// part returns which part of the route the request goes to. Each try of it goes to the same one: a part that is short of
-// room turns its own requests away without spilling them on the others.
-func (s *Sender) part(r *request, snap *site.Snapshot) ident.Service {
+// choosePart returns the part of the route that the request goes to. All attempts go to the same part: one without free
+// capacity refuses its own requests instead of moving them to the others.
+func (s *Sender) choosePart(r *request, snap *site.Snapshot) ident.Service {
 	if len(r.route.Parts) == 1 {
 		return r.route.Parts[0].Service
 	}
 	l := make([]choice.Part, len(r.route.Parts))
 	for i, p := range r.route.Parts {
-		l[i] = choice.Part{Service: p.Service, Weight: p.Weight, Near: s.nearby(r, snap, snap.Config.Services[p.Service])}
+		l[i] = choice.Part{Service: p.Service, Weight: p.Weight, Near: s.hasLocal(r, snap, snap.Config.Services[p.Service])}
 	}
 	daemons := len(s.daemonNames(snap))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := s.splits[r.route.Name]
+	x := s.splitters[r.route.Name]
 	if x == nil {
 		x = &choice.Split{}
-		s.splits[r.route.Name] = x
+		s.splitters[r.route.Name] = x
 	}
 	return x.Pick(l, daemons)
 }
 
-// nearby reports whether the server of the service that the request would go to is in the own failure domain: the holder
-// of its key, or any.
-func (s *Sender) nearby(r *request, snap *site.Snapshot, v *site.Service) bool {
+// hasLocal reports whether the request can go to a server of the service in the daemon's own failure domain: the owner of its
+// key, or any server if the service is not keyed.
+func (s *Sender) hasLocal(r *request, snap *site.Snapshot, v *site.Service) bool {
 	if v.Keyed {
 		x := snap.Servers[s.o.View.Holds().Find(v.Name, r.key).Server]
 		return r.hasKey && x != nil && x.Domain == s.o.Domain
@@ -285,40 +285,40 @@
 	})
 }
 
-// run sends the request as often as it takes and may be.
-func (s *Sender) run(r *request) final {
+// run sends the request, with retries where they are allowed, and returns its result.
+func (s *Sender) run(r *request) result {
 	if f := s.begin(r); f != nil {
 		return *f
 	}
 	for {
 		now := s.o.Clock.Now()
 		if r.caller.Err() != nil {
-			return final{outcome: left, reason: "caller-left"} // whatever it is, it isn't sent any more
+			return result{outcome: outcomeCallerLeft, reason: "caller-left"} // no further attempt, whatever the result of earlier ones
 		}
 		if s.base.Err() != nil {
 			return s.refuse(r, reasonStopping)
 		}
 		if !now.Before(r.deadline) {
-			return s.expired(r)
+			return s.refuseExpired(r)
 		}
 		snap := s.o.View.Snapshot()
 		if f := s.match(r, snap); f != nil {
 			return *f
 		}
-		if s.deadly(r) {
-			return s.refuse(r, reasonDeadly)
+		if s.isCrashing(r) {
+			return s.refuse(r, reasonCrashing)
 		}
 		if f := s.acquireToken(r); f != nil {
 			return *f
 		}
 		b, why := s.choose(r, snap, now)
 		if b == nil {
-			if s.wait(r, why, now) {
+			if s.waitForChange(r, why, now) {
 				continue
 			}
 			return s.refuse(r, why)
 		}
-		if s.crowded(r, b, now) {
+		if s.shouldShed(r, b, now) {
 			return s.refuse(r, reasonFull)
 		}
 		if f := s.attempt(r, b); f != nil {
