--- a/io/node/node.go
+++ b/io/node/node.go
@@ -69,7 +69,7 @@
 	limiter *limit.Limiter
 	guard   *guard.Guard
 	peers   *peer.Transport
-	front   *front.Front
+	front   *front.Frontend
 	pages   *fasthttp.Server
 	leaving atomic.Bool
 }
@@ -101,7 +101,7 @@
 	}
 	n.feed = feed.New(feed.Options{
 		Self: s.Name, Incarnation: n.life, Store: n.o.Platform.Store, Decoder: n.o.Platform.Decoder, Clock: n.clock, Log: n.o.Log,
-		TakeMeasurements: func() ([]*wire.KeyCount, []*wire.ServerWork) { return n.sender.Measures() },
+		TakeMeasurements: func() ([]*wire.KeyCount, []*wire.ServerWork) { return n.sender.TakeMeasurements() },
 		OnMeasurements:   func(l []*wire.KeyCount, w []*wire.ServerWork) { n.granter.Measured(l, w) },
 		Quota:            quotaClient{n},
 	})
@@ -118,9 +118,9 @@
 	})
 	n.sender = send.New(send.Options{
 		Self: s.Name, Domain: s.Domain, View: n.feed, Dialect: n.o.Platform.Dialect,
-		Cold:   pace.ColdLimit{Factor: s.Limits.ColdFactor, Slack: s.Limits.ColdSlack},
-		Budget: pace.BudgetLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
-		Clock:  n.clock, Counter: n.meter, Log: n.o.Log, Limiter: n.limiter, Guard: n.guard, MaxCopyAge: s.Limits.MaxCopyAge,
+		ColdLimit:  pace.ColdLimit{Factor: s.Limits.ColdFactor, Slack: s.Limits.ColdSlack},
+		RetryLimit: pace.BudgetLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
+		Clock:      n.clock, Counter: n.meter, Log: n.o.Log, Limiter: n.limiter, Guard: n.guard, MaxCopyAge: s.Limits.MaxCopyAge,
 	})
 	if n.id, err = newIdentity(s.Name, n.feed.Snapshot); err != nil {
 		return err
@@ -182,7 +182,7 @@
 
 // serve starts to take callers and to answer the balancer and operators.
 func (n *Node) serve(x listeners) {
-	n.front = front.New(n.group, front.Options{Listen: x.entry, Limits: n.limits, Handler: n.sender.Handle, Away: n.isolated})
+	n.front = front.New(n.group, front.Options{Listen: x.entry, Limits: n.limits, Handler: n.sender.Handle, CloseAfterResponse: n.isolated})
 	n.pages = &fasthttp.Server{Handler: n.page, NoDefaultServerHeader: true}
 	for _, l := range x.pages {
 		n.group.Go(func(context.Context) error { return n.pages.Serve(l) })
@@ -281,7 +281,7 @@
 		case <-t.C:
 			n.sender.Prune()
 			if n.feed.Leads() {
-				n.granter.Measured(n.sender.Measures())
+				n.granter.Measured(n.sender.TakeMeasurements())
 			}
 		}
 	}
@@ -341,9 +341,9 @@
 // answers what callers still send, and ends when the last answer is out or the grace is over.
 func (n *Node) Leave(c context.Context) {
 	started := time.Now()
-	n.o.Log.Info().Int("open", n.front.Open()).Int("connections", n.front.Conns()).Msg("daemon is leaving")
+	n.o.Log.Info().Int("open", n.front.OpenRequests()).Int("connections", n.front.OpenConns()).Msg("daemon is leaving")
 	n.leaving.Store(true)
-	n.front.Leave()
+	n.front.Drain()
 	x, cancel := context.WithDeadline(c, started.Add(n.o.Settings.Limits.Grace-leaveMargin))
 	defer cancel()
 	var hand sync.WaitGroup
@@ -356,7 +356,7 @@
 	}
 	if err := n.front.Shutdown(x); err != nil {
 		n.o.Log.Warn().Err(err).Msg("requests given up")
-		n.sender.GiveUp()
+		n.sender.AbortAll()
 		y, cancel := context.WithTimeout(c, giveUpTime)
 		defer cancel()
 		if err := n.front.Shutdown(y); err != nil {
