--- a/io/grant/elect.go
+++ b/io/grant/elect.go
@@ -15,33 +15,34 @@
 	"heatherrouter/io/wire"
 )
 
-// takeTurn does what was decided about the turn; it reports whether this daemon has become the coordinator. The row of the
-// present coordinator was read before the snapshot: were its voters replaced in between, the transaction would fail.
-func (g *Granter) takeTurn(c context.Context, row store.Row, s *site.Snapshot, d elect.Decision) bool {
+// applyDecision carries out an election decision and reports whether this daemon has become the coordinator. The
+// coordinator's row must have been read before the snapshot: the transaction then fails if voters were replaced in between.
+func (g *Granter) applyDecision(c context.Context, row store.Row, s *site.Snapshot, d elect.Decision) bool {
 	switch x := d.(type) {
 	case elect.Ask:
-		return g.askWithdrawals(s) && g.takeOver(c, row.Rev, s, elect.Take{Clean: x.Clean})
+		return g.requestWithdrawals(s) && g.takeOver(c, row.Rev, s, elect.Take{Clean: x.Clean})
 	case elect.Take:
-		clear(g.given)
+		clear(g.withdrawnRows)
 		return g.takeOver(c, row.Rev, s, x)
 	}
 	return false
 }
 
-// retryTurn is between two tries to become the coordinator: one that met another's row learns of it within that time.
-const retryTurn = 250 * time.Millisecond
+// takeOverRetryDelay is the least time between two attempts to become the coordinator. After a conflict with another
+// daemon's row, the feed receives that row within this time.
+const takeOverRetryDelay = 250 * time.Millisecond
 
-// takeOver writes this daemon down as the coordinator that follows the one of the row's revision.
+// takeOver writes this daemon to the store as the successor of the coordinator in the row of revision rev.
 func (g *Granter) takeOver(c context.Context, rev store.Rev, s *site.Snapshot, t elect.Take) bool {
 	now := g.o.Clock.Now()
-	if now.Before(g.nextTry) {
+	if now.Before(g.nextTakeOver) {
 		return false
 	}
-	g.nextTry = now.Add(retryTurn)
-	was := s.Coordinator
+	g.nextTakeOver = now.Add(takeOverRetryDelay)
+	prev := s.Coordinator
 	v, err := proto.Marshal(&wire.CoordinatorRow{
-		Daemon: string(g.o.Self), Incarnation: uint64(g.o.Life), Term: uint64(was.Term) + 1, Clean: t.Clean,
-		WithoutQuorum: t.WithoutQuorum, Voters: names(elect.Voters(g.o.Self, s.Daemons)),
+		Daemon: string(g.o.Self), Incarnation: uint64(g.o.Incarnation), Term: uint64(prev.Term) + 1, Clean: t.Clean,
+		WithoutQuorum: t.WithoutQuorum, Voters: daemonNames(elect.Voters(g.o.Self, s.Daemons)),
 	})
 	if err != nil {
 		g.o.Log.Error().Err(err).Msg("coordinator's row not encoded")
@@ -52,41 +53,41 @@
 		Put:    []store.Row{{Key: feed.CoordinatorRow, Value: v}},
 	}
 	for _, d := range s.Voters {
-		if r := g.given[d]; r > 0 {
+		if r := g.withdrawnRows[d]; r > 0 {
 			x.Expect = append(x.Expect, store.Expect{Key: feed.DaemonRow(d), Rev: r})
 		}
 	}
-	asked := g.o.Clock.Boot()
+	requested := g.o.Clock.Boot()
 	if rev, err = g.o.Store.Commit(c, x); err != nil {
-		g.o.Log.Info().Err(err).Uint64("term", uint64(was.Term)+1).Msg("did not become the coordinator")
-		clear(g.given) // one of them may have started again
-		return false   // if it was written all the same, the feed tells
+		g.o.Log.Info().Err(err).Uint64("term", uint64(prev.Term)+1).Msg("did not become the coordinator")
+		clear(g.withdrawnRows) // a voter may have restarted
+		return false           // if the row was written after all, the feed receives it
 	}
-	g.o.Log.Info().Uint64("term", uint64(was.Term)+1).Bool("clean", t.Clean).Bool("without-quorum", t.WithoutQuorum).Str("before", string(was.Daemon)).
+	g.o.Log.Info().Uint64("term", uint64(prev.Term)+1).Bool("clean", t.Clean).Bool("without-quorum", t.WithoutQuorum).Str("before", string(prev.Daemon)).
 		Msg("became the coordinator")
-	g.o.Feed.Confirm(asked)
+	g.o.Feed.Confirm(requested)
 	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
 	return true
 }
 
-// begin starts a term.
-func (g *Granter) begin(s *site.Snapshot) {
+// beginTerm resets the state for a term in which this daemon is the coordinator.
+func (g *Granter) beginTerm(s *site.Snapshot) {
 	now := g.o.Clock.Now()
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
 	g.term, g.rev, g.sequence = s.Coordinator.Term, row.Rev, 0
 	g.services, g.links = map[ident.Service]*service{}, map[ident.Server]*link{}
-	g.lives = map[ident.Server]*site.Server{}
-	g.orderedUntil = now
+	g.servers = map[ident.Server]*site.Server{}
+	g.earlierOrdersEnd = now
 	if !s.Coordinator.Clean {
-		g.orderedUntil = now.Add(right + right/50)
+		g.earlierOrdersEnd = now.Add(authorityTTL + authorityTTL/50)
 	}
-	g.rates.reset()
-	g.planned = 0
-	g.began, g.supported = g.o.Clock.Boot(), g.o.Clock.Now()
+	g.measurements.reset()
+	g.plannedAt = 0
+	g.termStarted, g.supportedAt = g.o.Clock.Boot(), g.o.Clock.Now()
 }
 
-// stop ends a term.
-func (g *Granter) stop() {
+// endTerm closes the connections of the current term, if there is one.
+func (g *Granter) endTerm() {
 	if g.term == 0 {
 		return
 	}
@@ -97,10 +98,10 @@
 	g.term, g.services, g.links = 0, nil, nil
 }
 
-// handOver ends the term so that any other daemon may begin the next at once.
+// handOver ends the term and clears the coordinator in the store, so that another daemon can take over at once.
 //
-// The term ends before it is written down: its successor counts on that, and a transaction without an answer may be
-// carried out later.
+// The term ends before the transaction: a successor relies on it, and a transaction without an answer may still be applied
+// later.
 func (g *Granter) handOver(c context.Context) {
 	s := g.o.Feed.Snapshot()
 	if g.term == 0 || s.Coordinator.Term != g.term {
@@ -108,9 +109,9 @@
 	}
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
 	term := g.term
-	g.stop()
+	g.endTerm()
 	voters := slices.DeleteFunc(slices.Clone(s.Voters), func(d ident.Daemon) bool { return d == g.o.Self })
-	v, err := proto.Marshal(&wire.CoordinatorRow{Term: uint64(term), Clean: true, Voters: names(voters)})
+	v, err := proto.Marshal(&wire.CoordinatorRow{Term: uint64(term), Clean: true, Voters: daemonNames(voters)})
 	if err != nil {
 		g.o.Log.Error().Err(err).Msg("coordinator's row not encoded")
 		return
@@ -120,17 +121,18 @@
 		Put:    []store.Row{{Key: feed.CoordinatorRow, Value: v}},
 	})
 	if err != nil {
-		g.o.Log.Warn().Err(err).Msg("turn not handed over, another daemon takes it later")
+		g.o.Log.Warn().Err(err).Msg("coordinator role not handed over, another daemon takes over later")
 		return
 	}
 	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
 	g.o.Log.Info().Uint64("term", uint64(term)).Msg("turn handed over")
 }
 
-// storeLimit is how long the answer of a store that is well takes at most.
-const storeLimit = 300 * time.Millisecond
+// storeTimeout is the longest response time of a healthy store.
+const storeTimeout = 300 * time.Millisecond
 
-// mayOrder is asked right before each order: the process may have stood still, and another may lead by now.
-func (g *Granter) mayOrder(term site.Term) bool {
-	return g.o.Feed.HasTurn(term) && g.o.Feed.Confirmed() < right
+// maySendOrder reports whether this daemon may send orders in the term. It is checked right before each order: the process
+// may have been paused, and another daemon may be the coordinator by now.
+func (g *Granter) maySendOrder(term site.Term) bool {
+	return g.o.Feed.HasTurn(term) && g.o.Feed.Confirmed() < authorityTTL
 }
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -1,5 +1,5 @@
-// Package grant is the coordinator's duty: it assigns the keys of services to backend servers, writes each change to the
-// store, and carries it out by orders to the servers. One daemon does it at a time; all run the duty and wait.
+// Package grant does the coordinator's work: it assigns the keys of services to backend servers, writes each change to the
+// store, and carries it out with orders to the servers. Every daemon runs it, but only the elected coordinator acts.
 package grant
 
 import (
@@ -23,137 +23,138 @@
 	"heatherrouter/io/wire"
 )
 
-// Speaker writes orders as the servers read them.
-type Speaker interface {
+// OrderCodec encodes orders to backend servers and decodes their responses.
+type OrderCodec interface {
 	Grant(req *fasthttp.Request, g hold.Grant)
 	Release(req *fasthttp.Request, r hold.Release)
-	Handover(resp *fasthttp.Response) string // of an answered release
+	Handover(resp *fasthttp.Response) string // handover data in the response to a release
 
-	// Foreign reports whether an answer to a release is of a server that holds no keys at all: the one that it was sent to
-	// has ended, and another service has its address.
-	Foreign(resp *fasthttp.Response) bool
+	// FromOtherService reports whether the response to a release comes from a server that holds no keys at all: the server
+	// that the release was meant for has ended, and another service uses its address.
+	FromOtherService(resp *fasthttp.Response) bool
 }
 
-// Options are what a Granter needs.
+// Options configure a Granter.
 type Options struct {
-	Self    ident.Daemon
-	Life    ident.Incarnation
-	Feed    *feed.Feed
-	Store   store.Store
-	Speaker Speaker
-	Terms   hold.Terms
-	Clock   *clock.Clock
-	Log     *log.Logger
+	Self        ident.Daemon
+	Incarnation ident.Incarnation
+	Feed        *feed.Feed
+	Store       store.Store
+	OrderCodec  OrderCodec
+	Timing      hold.Terms
+	Clock       *clock.Clock
+	Log         *log.Logger
 }
 
 const (
-	// right is how long a coordinator may send orders after the store last said that it is the coordinator, however many
-	// daemons support it. It bounds how long grants outlast an outage of the store, and how long a successor waits for a
-	// server that it can't reach when too many daemons are lost to give their word.
-	right = 30 * time.Second
+	// authorityTTL is how long a coordinator may send orders after the store last confirmed its role, however many daemons
+	// support it. It bounds how long grants outlast an outage of the store. It also bounds how long a successor waits for a
+	// server that it can't reach, when too many daemons are lost for a quorum of withdrawals.
+	authorityTTL = 30 * time.Second
 
-	// planEvery is how often the load of the keys is looked at.
-	planEvery = 500 * time.Millisecond
+	// planInterval is the time between two checks of the load of the keys.
+	planInterval = 500 * time.Millisecond
 
-	// settle is how long the servers of a service must not have changed before its keys are first dealt out, and
-	// settleMost the most that is waited: dealt out to the first few, the keys would move again at once.
-	settle     = 700 * time.Millisecond
-	settleMost = 3 * time.Second
+	// settleDelay is how long the servers of a service must be unchanged before its keys are first assigned, and
+	// maxSettleDelay the longest wait. Keys assigned to only the first few servers would have to move again at once.
+	settleDelay    = 700 * time.Millisecond
+	maxSettleDelay = 3 * time.Second
 
-	lookEvery = 250 * time.Millisecond // whether it is this daemon's turn
+	// pollInterval is the time between two checks whether this daemon should become the coordinator.
+	pollInterval = 250 * time.Millisecond
 )
 
-// Granter is the duty of one daemon.
+// Granter assigns and grants keys while its daemon is the coordinator, and otherwise waits to take over.
 type Granter struct {
-	o           Options
-	group       *group.Group
-	peers       feed.Caller
-	results     chan done
-	withdrawals chan withdrawal
-	written     chan written
-	leave       chan chan struct{}
-	known       mono.Time // when the feed was first whole
-	leaving     atomic.Bool
+	o                Options
+	group            *group.Group
+	peers            feed.Caller
+	results          chan orderResult
+	withdrawals      chan withdrawal
+	writeResults     chan writeResult
+	stepDownRequests chan chan struct{}
+	loadedAt         mono.Time // when the feed had first read all tables; 0 before
+	leaving          atomic.Bool
 
-	// Of the present term; only the duty's goroutine uses them.
-	term         site.Term
-	rev          store.Rev // of the coordinator's row
-	sequence     uint64
-	services     map[ident.Service]*service
-	links        map[ident.Server]*link
-	lives        map[ident.Server]*site.Server // the last known life of each server
-	planned      mono.Time
-	orderedUntil mono.Time // when earlier coordinators have surely sent their last orders
-	rates        *rates
+	// State of the current term, used only by the goroutine of run.
+	term             site.Term
+	rev              store.Rev // revision of the coordinator's row
+	sequence         uint64
+	services         map[ident.Service]*service
+	links            map[ident.Server]*link
+	servers          map[ident.Server]*site.Server // last known incarnation of each server
+	plannedAt        mono.Time
+	earlierOrdersEnd mono.Time // time after which no earlier coordinator sends orders
+	measurements     *measurements
 
-	began     time.Duration // on the clock that counts suspensions
-	supported mono.Time     // when a quorum last supported this one
+	termStarted time.Duration // start of the term on the clock that includes suspensions
+	supportedAt mono.Time     // when a quorum last supported this coordinator
 
-	given   map[ident.Daemon]store.Rev // rows of the voters that withdrew their support of the coordinator of the term
-	against site.Term
-	asked   mono.Time
-	nextTry mono.Time // to become the coordinator
-	revised mono.Time // when voters were last looked at
+	withdrawnRows          map[ident.Daemon]store.Rev // row revisions of voters that withdrew support in withdrawTerm
+	withdrawTerm           site.Term                  // term of the coordinator that voters are asked to withdraw from
+	withdrawalsRequestedAt mono.Time
+	nextTakeOver           mono.Time // earliest time of the next attempt to become the coordinator
+	votersRevisedAt        mono.Time // when a replacement of voters was last attempted
 }
 
-// done is the end of an order.
-type done struct {
-	term    site.Term
-	service ident.Service
-	order   hold.Order
-	result  hold.Result
-	lost    bool // the connection for renewals to the server is gone
-	server  ident.Server
-	err     error // why there is no answer
-	status  int   // of the answer
+// orderResult is the outcome of one order.
+type orderResult struct {
+	term     site.Term
+	service  ident.Service
+	order    hold.Order
+	result   hold.Result
+	connLost bool // the connection for grants to the server is lost
+	server   ident.Server
+	err      error // why there is no response; nil if there is one
+	status   int   // HTTP status of the response
 }
 
-// doneRing is how many ends of orders may wait for the duty.
-const doneRing = 256
+// resultBuffer is the capacity of the channels that return results to run.
+const resultBuffer = 256
 
-// New returns a granter; Run starts it.
+// New returns a Granter that does nothing until Run.
 func New(o Options) *Granter {
 	return &Granter{
-		o: o, results: make(chan done, doneRing), withdrawals: make(chan withdrawal, doneRing), written: make(chan written, doneRing),
-		leave: make(chan chan struct{}), rates: newRates(),
+		o: o, results: make(chan orderResult, resultBuffer), withdrawals: make(chan withdrawal, resultBuffer), writeResults: make(chan writeResult, resultBuffer),
+		stepDownRequests: make(chan chan struct{}), measurements: newMeasurements(),
 	}
 }
 
-// Run starts the duty.
+// Run starts the Granter in the group r.
 func (g *Granter) Run(r *group.Group, peers feed.Caller) {
 	g.group, g.peers = r, peers
 	r.Go(g.run)
 }
 
-// Measured takes in what a daemon has measured.
-func (g *Granter) Measured(l []*wire.KeyCount, w []*wire.ServerWork) {
-	g.rates.add(g.o.Clock.Now(), l, w)
+// AddMeasurements records request counts and service times that a daemon has measured.
+func (g *Granter) AddMeasurements(l []*wire.KeyCount, w []*wire.ServerWork) {
+	g.measurements.add(g.o.Clock.Now(), l, w)
 }
 
-// Leave hands the duty over, and returns when that is done or the context ends.
+// StepDown gives up the coordinator role, and returns when that is done or the context ends.
 //
-// While the store doesn't answer nobody could take over, and all grants would lapse: then the daemon goes on as the
-// coordinator for as long as it may. The store is asked right before: its last word may be a second old, and once the term
-// has ended it can't be taken up again.
-func (g *Granter) Leave(c context.Context) {
+// While the store doesn't answer, no daemon could take over and all grants would expire, so this daemon stays the
+// coordinator for as long as it may. The store is queried right before the handover: its last answer may be a second old,
+// and a term that has ended can't be resumed.
+func (g *Granter) StepDown(c context.Context) {
 	g.leaving.Store(true)
 	for g.o.Feed.Leads() && !g.storeAnswers(c) {
 		if c.Err() != nil {
 			return
 		}
-		clock.Sleep(c, lookEvery)
+		clock.Sleep(c, pollInterval)
 	}
 	d := make(chan struct{})
 	select {
-	case g.leave <- d:
+	case g.stepDownRequests <- d:
 		<-d
 	case <-c.Done():
 	}
 }
 
-// storeAnswers reports whether the store answers within a usual time.
+// storeAnswers reports whether the store answers within storeTimeout.
 func (g *Granter) storeAnswers(c context.Context) bool {
-	x, cancel := context.WithTimeout(c, storeLimit)
+	x, cancel := context.WithTimeout(c, storeTimeout)
 	defer cancel()
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
 	_, err := g.o.Store.Follow(x, store.Control, row.Rev, 0)
@@ -161,7 +162,7 @@
 }
 
 func (g *Granter) run(c context.Context) error {
-	t := time.NewTimer(lookEvery)
+	t := time.NewTimer(pollInterval)
 	defer t.Stop()
 	var next mono.Time
 	for due := true; ; {
@@ -176,13 +177,13 @@
 			return nil
 		case <-changed:
 		case x := <-g.results:
-			due = g.takeAll(x)
-			next = min(next, g.o.Clock.Now().Add(hold.RenewAfter(g.o.Terms.Hold)))
+			due = g.drainResults(x)
+			next = min(next, g.o.Clock.Now().Add(hold.RenewAfter(g.o.Timing.Hold)))
 		case x := <-g.withdrawals:
-			g.takeWithdrawal(x)
-		case x := <-g.written:
-			g.takeWritten(x)
-		case d := <-g.leave:
+			g.handleWithdrawal(x)
+		case x := <-g.writeResults:
+			g.handleWriteResult(x)
+		case d := <-g.stepDownRequests:
 			g.handOver(c)
 			close(d)
 		case <-t.C:
@@ -190,60 +191,60 @@
 	}
 }
 
-// takeAll takes in all ends of orders that are there; it reports whether any of them asks for more than the next renewal.
-// Hundreds of renewals a second would else each cost a look at all ranges.
-func (g *Granter) takeAll(x done) bool {
-	due := g.take(x)
+// drainResults handles x and all other results that are ready, and reports whether any of them needs a step before the next
+// renewal. Without this, each of hundreds of renewals a second would cause a pass over all ranges.
+func (g *Granter) drainResults(x orderResult) bool {
+	due := g.handleResult(x)
 	for {
 		select {
 		case x = <-g.results:
-			due = g.take(x) || due
+			due = g.handleResult(x) || due
 		default:
 			return due
 		}
 	}
 }
 
-// step does what is due and returns when to look again.
+// step does what is due and returns the time of the next step.
 func (g *Granter) step(c context.Context) mono.Time {
 	now := g.o.Clock.Now()
 	if !g.o.Feed.Known() {
-		return now.Add(lookEvery)
+		return now.Add(pollInterval)
 	}
-	if g.known == 0 {
-		g.known = now
+	if g.loadedAt == 0 {
+		g.loadedAt = now
 	}
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
 	s := g.o.Feed.Snapshot()
-	copied, heard := g.o.Feed.Ages()
+	copyAge, contactAge := g.o.Feed.Ages()
 	st := elect.State{
-		Self: g.o.Self, Life: g.o.Life, Leaving: g.leaving.Load(), Snapshot: s, Copied: copied, Heard: heard, Known: now.Sub(g.known),
+		Self: g.o.Self, Life: g.o.Incarnation, Leaving: g.leaving.Load(), Snapshot: s, Copied: copyAge, Heard: contactAge, Known: now.Sub(g.loadedAt),
 	}
 	if !st.Leads() || g.leaving.Load() && g.term == 0 {
-		g.stop()
-		if !g.takeTurn(c, row, s, st.Decide()) {
-			return now.Add(lookEvery)
+		g.endTerm()
+		if !g.applyDecision(c, row, s, st.Decide()) {
+			return now.Add(pollInterval)
 		}
 	}
-	return g.lead(c)
+	return g.coordinate(c)
 }
 
-// lead does what is due as the coordinator.
-func (g *Granter) lead(c context.Context) mono.Time {
+// coordinate does what is due as the coordinator and returns the time of the next step.
+func (g *Granter) coordinate(c context.Context) mono.Time {
 	s := g.o.Feed.Snapshot()
 	if s.Coordinator.Term != g.term {
-		g.stop()
-		g.begin(s)
+		g.endTerm()
+		g.beginTerm(s)
 	}
-	g.followRow()
+	g.updateRev()
 	now := g.o.Clock.Now()
-	next := now.Add(planEvery)
+	next := now.Add(planInterval)
 	for id, x := range s.Servers {
-		g.lives[id] = x
+		g.servers[id] = x
 	}
-	due := now.Sub(g.planned) >= planEvery
-	if due && !g.members(c, s) {
-		return now.Add(lookEvery)
+	due := now.Sub(g.plannedAt) >= planInterval
+	if due && !g.updateMembers(c, s) {
+		return now.Add(pollInterval)
 	}
 	for n, v := range s.Config.Services {
 		if !v.Keyed {
@@ -251,26 +252,26 @@
 		}
 		x := g.services[n]
 		if x == nil {
-			x = g.open(n, now)
+			x = g.loadService(n, now)
 			if x == nil {
 				continue
 			}
 		}
-		next = min(next, g.keep(s, x, due))
+		next = min(next, g.updateService(s, x, due))
 	}
 	if due {
-		g.planned = now
+		g.plannedAt = now
 	}
 	g.publish()
 	return next
 }
 
-// publish tells all daemons who holds which keys, if that has changed.
+// publish sends the holds of all services to all daemons if they have changed.
 func (g *Granter) publish() {
 	h := &hold.Holds{Services: map[ident.Service][]hold.Hold{}}
 	changed := g.sequence == 0
 	for n, x := range g.services {
-		changed = x.admitted() || changed
+		changed = x.updatePublished() || changed
 		h.Services[n] = x.published
 	}
 	if !changed {
@@ -281,8 +282,8 @@
 	g.o.Feed.Publish(h)
 }
 
-// take takes in the end of an order; it reports whether there is anything to do beyond the next renewal.
-func (g *Granter) take(x done) bool {
+// handleResult applies the result of an order, and reports whether it needs a step before the next renewal.
+func (g *Granter) handleResult(x orderResult) bool {
 	if x.term != g.term || g.services == nil {
 		return false
 	}
@@ -292,14 +293,14 @@
 	}
 	now := g.o.Clock.Now()
 	s.table.Done(now, x.order, x.result)
-	if x.lost {
+	if x.connLost {
 		for _, v := range g.services {
 			v.table.Lost(now, x.server)
 		}
 	}
-	if x.result.Outcome != hold.Accepted || x.lost {
+	if x.result.Outcome != hold.Accepted || x.connLost {
 		g.o.Log.Info().Err(x.err).Str("service", string(x.service)).Str("server", string(x.server)).
-			Int("status", x.status).Str("order", orderName(x.order)).Str("end", x.result.Outcome.String()).Bool("connection-lost", x.lost).Msg("order ended")
+			Int("status", x.status).Str("order", orderName(x.order)).Str("end", x.result.Outcome.String()).Bool("connection-lost", x.connLost).Msg("order ended")
 		return true
 	}
 	grant, ok := x.order.(hold.Grant)
--- a/io/grant/link.go
+++ b/io/grant/link.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	orderDial = 300 * time.Millisecond
+	orderDialTimeout = 300 * time.Millisecond
 
-	// patientDial is for connections that no order waits for, or one that may wait. A server that is busy drops the opening
-	// packet of a new connection, which is sent again after a second.
-	patientDial = 2500 * time.Millisecond
+	// backgroundDialTimeout applies to connections that no order waits for, and to releases. A busy server drops the SYN
+	// packet of a new connection, which is retransmitted after a second.
+	backgroundDialTimeout = 2500 * time.Millisecond
 
-	// spareEvery is how often a look is taken whether the connections kept for later are still open: servers close idle ones.
-	spareEvery = time.Second
+	// spareCheckInterval is the time between checks whether spare connections are open: servers close idle ones.
+	spareCheckInterval = time.Second
 
-	releaseOver = 10 * time.Second // at most, for the work on released keys to end
+	releaseTimeout = 10 * time.Second // longest wait for the work on released keys to end
 
-	// maxReleases is how many releases of one server may wait for work to end at the same time. A server that leaves has a
-	// dozen ranges; one release that found no connection would be taken for a server that doesn't answer.
+	// maxReleases is how many releases of one server may be open at the same time. A server that leaves has a dozen ranges,
+	// and a release that finds no connection would look like one that the server didn't answer.
 	maxReleases = 16
 )
 
-// link is the connections for orders to one life of a server. Grants have one of their own, on which each follows the
-// answer to the last, so that a renewal reaches the life that took the grant; a release is answered only when work ends,
-// and must not hold up renewals.
+// link holds the connections for orders to one incarnation of a server. Grants use a connection of their own, one at a time,
+// so that a renewal reaches the incarnation that accepted the grant. Releases use others: a server answers a release only
+// when work ends, and that must not delay renewals.
 //
-// A second connection for grants is kept open. Servers close the first one now and then, and a busy server takes seconds to
-// accept the next: without the spare all its keys lapse just when most requests come for them. What goes over it bears a
-// higher fence, like all that goes over a new connection. One for releases is kept open as well: keys are taken from servers
-// that are overrun, and those reset new connections.
+// A spare connection for grants is kept open. Servers close the first one now and then, and a busy server takes seconds to
+// accept another: without the spare all its keys would expire when most requests need them. Grants on the spare carry a
+// higher fence, like those on any new connection. One connection for releases is kept open as well: keys are taken from
+// overloaded servers, which reset new connections.
 type link struct {
-	server   *site.Server
-	releases *conns.Pool
-	room     chan struct{} // for releases
-
-	turn   sync.Mutex // one order for grants at a time
-	grants *conns.Pool
-	spare  *conns.Pool
-	looked time.Time // at the spare
+	server       *site.Server
+	releases     *conns.Pool
+	releaseSlots chan struct{} // semaphore for open releases
+
+	grantMu        sync.Mutex // held for the exchange of one grant
+	grants         *conns.Pool
+	spare          *conns.Pool
+	spareCheckedAt time.Time // when the spare connections were last checked
 }
 
-// link returns the link to a server's life, or nil when its address isn't known.
+// link returns the link to an incarnation of a server, or nil when its address isn't known.
 func (g *Granter) link(l hold.Life) *link {
-	s := g.lives[l.Server]
+	s := g.servers[l.Server]
 	if s == nil || s.Born != l.Born {
 		return nil
 	}
@@ -66,64 +66,63 @@
 	if x != nil {
 		x.close()
 	}
-	o := conns.Options{Addr: s.Addr, MaxConns: 1, DialTimeout: orderDial, ProbeEvery: conns.NoProbes, Names: conns.NoNames}
+	o := conns.Options{Addr: s.Addr, MaxConns: 1, DialTimeout: orderDialTimeout, ProbeEvery: conns.NoProbes, Names: conns.NoNames}
 	x = &link{server: s, grants: conns.New(o), spare: conns.New(o)}
-	o.MaxConns, o.DialTimeout = maxReleases, patientDial
-	x.releases, x.room = conns.New(o), make(chan struct{}, maxReleases)
+	o.MaxConns, o.DialTimeout = maxReleases, backgroundDialTimeout
+	x.releases, x.releaseSlots = conns.New(o), make(chan struct{}, maxReleases)
 	g.links[l.Server] = x
 	return x
 }
 
 func (x *link) close() {
-	x.turn.Lock()
-	defer x.turn.Unlock()
-	_ = x.grants.Close() // ends idle connections; an order under way ends with its answer
+	x.grantMu.Lock()
+	defer x.grantMu.Unlock()
+	_ = x.grants.Close() // closes idle connections; one with an order in progress closes after its response
 	_ = x.spare.Close()
 	_ = x.releases.Close()
 }
 
-// keepSpare opens the connections that are kept for later orders in the background if they are gone; the caller has the
-// turn.
-func (g *Granter) keepSpare(l *link) {
+// refreshSpare reopens lost spare connections in the background. The caller holds l.grantMu.
+func (g *Granter) refreshSpare(l *link) {
 	now := time.Now()
-	if now.Sub(l.looked) < spareEvery {
+	if now.Sub(l.spareCheckedAt) < spareCheckInterval {
 		return
 	}
-	l.looked = now
+	l.spareCheckedAt = now
 	p := l.spare
 	g.group.Go(func(c context.Context) error {
-		p.Warm(c, now.Add(patientDial)) // one that isn't opened is tried again with a later order
-		l.releases.Warm(c, now.Add(patientDial))
+		p.Warm(c, now.Add(backgroundDialTimeout)) // a failed attempt is repeated with a later order
+		l.releases.Warm(c, now.Add(backgroundDialTimeout))
 		return nil
 	})
 }
 
-// grant sends a grant over the connection for grants. Once that is lost the spare takes its place; a renewal isn't sent
-// over it, and what follows has a higher fence.
-func (g *Granter) grant(c context.Context, l *link, call conns.Call, req *fasthttp.Request, resp *fasthttp.Response) (r conns.Result, lost bool) {
-	l.turn.Lock()
-	defer l.turn.Unlock()
+// sendGrant sends a grant over the connection for grants. If that is lost, the spare replaces it for later grants, which
+// have a higher fence; a renewal isn't sent over the spare.
+func (g *Granter) sendGrant(c context.Context, l *link, call conns.Call, req *fasthttp.Request, resp *fasthttp.Response) (r conns.Result, lost bool) {
+	l.grantMu.Lock()
+	defer l.grantMu.Unlock()
 	r = l.grants.Do(c, call, req, resp)
 	if lost = errors.Is(r.Err, conns.ErrNoReuse) || r.End == admit.EndReset; lost {
 		l.grants, l.spare = l.spare, l.grants
-		l.looked = time.Time{}
+		l.spareCheckedAt = time.Time{}
 	}
-	g.keepSpare(l)
+	g.refreshSpare(l)
 	return r, lost
 }
 
-// send carries out an order on a goroutine of its own; its end comes back over the ring.
-func (g *Granter) send(n ident.Service, o hold.Order) {
-	life := lifeOf(o)
-	l := g.link(life)
-	d := done{term: g.term, service: n, order: o, server: life.Server, result: hold.Result{Outcome: hold.NotSent}}
+// sendOrder sends an order on a goroutine of its own, which returns the result on g.results.
+func (g *Granter) sendOrder(n ident.Service, o hold.Order) {
+	inc := incarnationOf(o)
+	l := g.link(inc)
+	d := orderResult{term: g.term, service: n, order: o, server: inc.Server, result: hold.Result{Outcome: hold.NotSent}}
 	if l == nil {
-		// Not over the ring: the duty itself may fill it here, and nobody would empty it.
+		// Not sent on g.results: this goroutine is its only reader, and would deadlock if the channel were full.
 		g.services[n].table.Done(g.o.Clock.Now(), o, d.result)
 		return
 	}
 	g.group.Go(func(c context.Context) error {
-		g.order(c, l, &d)
+		g.exchangeOrder(c, l, &d)
 		select {
 		case g.results <- d:
 		case <-c.Done():
@@ -132,7 +131,7 @@
 	})
 }
 
-func lifeOf(o hold.Order) hold.Life {
+func incarnationOf(o hold.Order) hold.Life {
 	switch x := o.(type) {
 	case hold.Grant:
 		return x.To
@@ -142,26 +141,26 @@
 	return hold.Life{}
 }
 
-// order makes one exchange with a server.
-func (g *Granter) order(c context.Context, l *link, d *done) {
+// exchangeOrder sends the order of d to the server and stores the result in d.
+func (g *Granter) exchangeOrder(c context.Context, l *link, d *orderResult) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetHost(l.server.Addr.String())
 	var call conns.Call
-	call.Guard = func() bool { // the process may have stood still since the order was due
-		return g.mayOrder(d.term) && time.Now().Before(call.Deadline)
+	call.Guard = func() bool { // the process may have been paused since the order was due
+		return g.maySendOrder(d.term) && time.Now().Before(call.Deadline)
 	}
 	var r conns.Result
 	switch x := d.order.(type) {
 	case hold.Grant:
-		g.o.Speaker.Grant(req, x)
+		g.o.OrderCodec.Grant(req, x)
 		call.Deadline, call.Reuse = g.o.Clock.Std(x.Ends), x.Renewal
-		r, d.lost = g.grant(c, l, call, req, resp)
+		r, d.connLost = g.sendGrant(c, l, call, req, resp)
 	case hold.Release:
-		g.o.Speaker.Release(req, x)
-		l.room <- struct{}{}
-		defer func() { <-l.room }()
+		g.o.OrderCodec.Release(req, x)
+		l.releaseSlots <- struct{}{}
+		defer func() { <-l.releaseSlots }()
 		call.Deadline = g.releaseDeadline(x.Until)
 		r = l.releases.Do(c, call, req, resp)
 	}
@@ -170,7 +169,7 @@
 
 func (g *Granter) releaseDeadline(until mono.Time) time.Time {
 	now := g.o.Clock.Now()
-	return g.o.Clock.Std(max(now.Add(g.o.Terms.Limit), min(until, now.Add(releaseOver))))
+	return g.o.Clock.Std(max(now.Add(g.o.Timing.Limit), min(until, now.Add(releaseTimeout))))
 }
 
 func (g *Granter) result(o hold.Order, r conns.Result, resp *fasthttp.Response) hold.Result {
@@ -178,19 +177,19 @@
 		return hold.Result{Outcome: hold.Silent}
 	}
 	if r.Err != nil {
-		// A refused connection proves nothing: a server that leaves stops to listen while it still works, and what cuts a
-		// failure domain off may refuse in the name of servers that live and hold their keys.
+		// A refused connection doesn't prove that the server has ended: a server that is shutting down stops listening while
+		// it still works, and a device that isolates a failure domain may refuse connections for servers that run and hold keys.
 		return hold.Result{Outcome: hold.NotSent}
 	}
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
-		return hold.Result{Outcome: hold.Accepted, Handover: g.o.Speaker.Handover(resp)}
+		return hold.Result{Outcome: hold.Accepted, Handover: g.o.OrderCodec.Handover(resp)}
 	case fasthttp.StatusConflict:
 		return hold.Result{Outcome: hold.Outfenced}
 	case fasthttp.StatusMisdirectedRequest:
-		return hold.Result{Outcome: hold.Ended} // another server has the address
+		return hold.Result{Outcome: hold.Ended} // another server uses the address
 	}
-	if _, ok := o.(hold.Release); ok && g.o.Speaker.Foreign(resp) {
+	if _, ok := o.(hold.Release); ok && g.o.OrderCodec.FromOtherService(resp) {
 		return hold.Result{Outcome: hold.Ended}
 	}
 	return hold.Result{Outcome: hold.Silent}
--- a/io/grant/link_test.go
+++ b/io/grant/link_test.go
@@ -14,18 +14,20 @@
 	"heatherrouter/io/conns"
 )
 
-// speaker takes a 400 for the answer of a server that holds no keys.
-type speaker struct{}
+// fakeCodec treats status 400 as the response of a server that holds no keys.
+type fakeCodec struct{}
 
-func (speaker) Grant(*fasthttp.Request, hold.Grant)     {}
-func (speaker) Release(*fasthttp.Request, hold.Release) {}
-func (speaker) Handover(*fasthttp.Response) string      { return "h" }
-func (speaker) Foreign(r *fasthttp.Response) bool       { return r.StatusCode() == fasthttp.StatusBadRequest }
+func (fakeCodec) Grant(*fasthttp.Request, hold.Grant)     {}
+func (fakeCodec) Release(*fasthttp.Request, hold.Release) {}
+func (fakeCodec) Handover(*fasthttp.Response) string      { return "h" }
+func (fakeCodec) FromOtherService(r *fasthttp.Response) bool {
+	return r.StatusCode() == fasthttp.StatusBadRequest
+}
 
-// Two servers hold one key, each of them working on it. A failure domain is cut off by something that refuses connections
-// in the name of its servers; the coordinator outside takes them for ended and gives their keys on, while daemons inside
-// still send to them. Only what a server itself has answered may end a life.
-func TestWhatEndsALife(t *testing.T) {
+// Guards against two servers that work on the same key. A failure domain is isolated by a device that refuses connections
+// for its servers. If the coordinator outside took these servers for ended, it would grant their keys to others while
+// daemons inside still send to them. Only a response of a server itself may end an incarnation.
+func TestOnlyServerResponsesEndIncarnation(t *testing.T) {
 	refused := conns.Result{
 		Outcome: retry.NotRun, End: admit.EndNoDial, Err: trace.Wrap(syscall.ECONNREFUSED, "dial"),
 	}
@@ -37,17 +39,17 @@
 		status int
 		want   hold.Outcome
 	}{
-		{"a grant refused", hold.Grant{}, refused, 0, hold.NotSent},
-		{"a release refused", hold.Release{}, refused, 0, hold.NotSent},
-		{"no answer", hold.Grant{}, conns.Result{Outcome: retry.Unknown, End: admit.EndReset, Err: syscall.ECONNRESET}, 0, hold.Silent},
-		{"another server's address", hold.Grant{}, answered, fasthttp.StatusMisdirectedRequest, hold.Ended},
-		{"a release at a server that holds no keys", hold.Release{}, answered, fasthttp.StatusBadRequest, hold.Ended},
-		{"a grant that is refused as malformed", hold.Grant{}, answered, fasthttp.StatusBadRequest, hold.Silent},
+		{"grant, connection refused", hold.Grant{}, refused, 0, hold.NotSent},
+		{"release, connection refused", hold.Release{}, refused, 0, hold.NotSent},
+		{"connection reset", hold.Grant{}, conns.Result{Outcome: retry.Unknown, End: admit.EndReset, Err: syscall.ECONNRESET}, 0, hold.Silent},
+		{"address used by another server", hold.Grant{}, answered, fasthttp.StatusMisdirectedRequest, hold.Ended},
+		{"release to a server that holds no keys", hold.Release{}, answered, fasthttp.StatusBadRequest, hold.Ended},
+		{"grant rejected as malformed", hold.Grant{}, answered, fasthttp.StatusBadRequest, hold.Silent},
 		{"accepted", hold.Release{}, answered, fasthttp.StatusOK, hold.Accepted},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
-			g := New(Options{Speaker: speaker{}})
+			g := New(Options{OrderCodec: fakeCodec{}})
 			resp := &fasthttp.Response{}
 			resp.SetStatusCode(x.status)
 			require.Equal(t, x.want, g.result(x.o, x.r, resp).Outcome)
--- a/io/grant/member.go
+++ b/io/grant/member.go
@@ -10,46 +10,46 @@
 	"heatherrouter/io/store"
 )
 
-// goneAfter is how long a daemon hasn't been heard of when its row is dropped. Rows of lost hosts would else count among
-// those of whom most have to support the coordinator, and in the shares of what is bounded for all. A daemon that was only
-// cut off writes its row again.
-const goneAfter = 6 * time.Second
+// daemonGoneTimeout is the time without contact after which a daemon's row is deleted. Otherwise rows of lost hosts would
+// count for the coordinator's quorum and take shares of the limits of the whole site. A daemon that was only isolated writes
+// its row again.
+const daemonGoneTimeout = 6 * time.Second
 
-// storeSilent is the age of the copy from which the store is taken not to answer. The copy of a coordinator that the
-// store answers is 0.8 s old at most.
-const storeSilent = 1200 * time.Millisecond
+// storeUnresponsiveAge is the age of the copy from which the store counts as unresponsive. While the store answers, the
+// coordinator's copy is at most 0.8 s old.
+const storeUnresponsiveAge = 1200 * time.Millisecond
 
-// members drops the rows of daemons that are gone, has others vote in their place, and begins a term without their support
-// when too many are gone; it reports whether the term goes on.
-func (g *Granter) members(c context.Context, s *site.Snapshot) bool {
+// updateMembers deletes the rows of daemons that are gone and replaces them as voters. If too many are gone for a quorum, it
+// begins a term without one. It reports whether the current term goes on.
+func (g *Granter) updateMembers(c context.Context, s *site.Snapshot) bool {
 	now := g.o.Clock.Now()
-	if copied, _ := g.o.Feed.Ages(); copied > storeSilent {
+	if copyAge, _ := g.o.Feed.Ages(); copyAge > storeUnresponsiveAge {
 		return true // nothing can be written
 	}
 	supported := g.o.Feed.Supported()
 	g.replaceVoters(c, s, supported)
 	if s.Coordinator.WithoutQuorum || supported {
-		g.supported = now
-		g.dropGone(c)
+		g.supportedAt = now
+		g.deleteGoneDaemons(c)
 		return true
 	}
-	if now.Sub(g.supported) < elect.NoQuorumAfter {
+	if now.Sub(g.supportedAt) < elect.NoQuorumAfter {
 		return true
 	}
-	clear(g.given)
+	clear(g.withdrawnRows)
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
-	return !g.takeOver(c, row.Rev, s, elect.Take{Clean: true, WithoutQuorum: true}) // it has sent nothing since it lost the support
+	return !g.takeOver(c, row.Rev, s, elect.Take{Clean: true, WithoutQuorum: true}) // no orders were sent since support was lost
 }
 
-// maxDrops is how many rows one transaction drops at most, each of them expected and dropped: the store takes 100 entries.
-const maxDrops = 45
+// maxDeletes bounds the rows that one transaction deletes. Each row takes two entries, and the store accepts 100 entries.
+const maxDeletes = 45
 
-// dropGone drops the rows of daemons that are gone.
-func (g *Granter) dropGone(c context.Context) {
+// deleteGoneDaemons deletes the rows of daemons without contact for daemonGoneTimeout.
+func (g *Granter) deleteGoneDaemons(c context.Context) {
 	x := store.Txn{Expect: []store.Expect{{Key: feed.CoordinatorRow, Rev: g.rev}}}
-	for _, d := range g.o.Feed.Silent(g.began, goneAfter) {
+	for _, d := range g.o.Feed.Silent(g.termStarted, daemonGoneTimeout) {
 		row, ok := g.o.Feed.Row(feed.DaemonRow(d))
-		if !ok || len(x.Drop) == maxDrops {
+		if !ok || len(x.Drop) == maxDeletes {
 			continue
 		}
 		x.Expect, x.Drop = append(x.Expect, store.Expect{Key: row.Key, Rev: row.Rev}), append(x.Drop, row.Key)
--- a/io/grant/rates.go
+++ b/io/grant/rates.go
@@ -15,66 +15,67 @@
 const (
 	buckets = hold.Keys / hold.BucketKeys
 
-	// halfLife is after how long a count weighs half. A key that suddenly gets a third of the requests fills its server's
-	// queue within a second; its dozen requests in half a second are no chance.
+	// halfLife is the time after which a count has half its weight. A key that suddenly gets a third of the requests fills its
+	// server's queue within a second; its dozen requests in half a second can't be chance.
 	halfLife = 800 * time.Millisecond
 
-	// rescaleAt bounds the weight of new counts; old ones are scaled down by then.
-	rescaleAt = 1 << 40
+	// maxWeight bounds the weight of new counts: when it is reached, all counts are scaled down.
+	maxWeight = 1 << 40
 )
 
-// rates is what daemons have measured: requests a second by service and bucket, and the speed of servers. Daemons bring
-// it on goroutines of their own.
-type rates struct {
-	mu       sync.Mutex
-	services map[ident.Service]*rate
-	paces    map[ident.Server]*choice.Least
-	units    map[ident.Service]*choice.Quantile // of a request's time at a usual server, in nanoseconds
+// measurements holds what daemons have measured: request rates by service and bucket, service times, and the slowdown of
+// servers. It is safe for concurrent use.
+type measurements struct {
+	mu           sync.Mutex
+	services     map[ident.Service]*keyCounts
+	slowdowns    map[ident.Server]*choice.Least
+	serviceTimes map[ident.Service]*choice.Quantile // service time of a request at a server with slowdown 1, in nanoseconds
 }
 
-// rate counts with weights that grow, instead of letting the old counts decay: a count touches its bucket only.
-type rate struct {
-	since mono.Time
-	n     hold.Rates
+// keyCounts holds exponentially decayed request counts. New counts get growing weights, so that a count changes only its own
+// bucket.
+type keyCounts struct {
+	since  mono.Time
+	counts hold.Rates
 }
 
-func newRates() *rates {
-	return &rates{services: map[ident.Service]*rate{}, paces: map[ident.Server]*choice.Least{}, units: map[ident.Service]*choice.Quantile{}}
+func newMeasurements() *measurements {
+	return &measurements{services: map[ident.Service]*keyCounts{}, slowdowns: map[ident.Server]*choice.Least{}, serviceTimes: map[ident.Service]*choice.Quantile{}}
 }
 
-func (r *rates) reset() {
+func (r *measurements) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.services)
-	clear(r.paces)
-	clear(r.units)
+	clear(r.slowdowns)
+	clear(r.serviceTimes)
 }
 
-func (r *rates) add(now mono.Time, l []*wire.KeyCount, works []*wire.ServerWork) {
+func (r *measurements) add(now mono.Time, l []*wire.KeyCount, work []*wire.ServerWork) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range l {
 		s := r.services[ident.Service(x.GetService())]
 		if s == nil {
-			s = &rate{since: now, n: make(hold.Rates, buckets)}
+			s = &keyCounts{since: now, counts: make(hold.Rates, buckets)}
 			r.services[ident.Service(x.GetService())] = s
 		}
 		if b := int(x.GetBucket()); b < buckets {
-			s.n[b] += float64(x.GetRequests()) * s.weight(now)
+			s.counts[b] += float64(x.GetRequests()) * s.weight(now)
 		}
 	}
-	for _, x := range works {
+	for _, x := range work {
 		if p := x.GetPacePercent(); p > 0 {
 			id := ident.Server(x.GetServer())
-			if r.paces[id] == nil {
-				r.paces[id] = &choice.Least{}
+			if r.slowdowns[id] == nil {
+				r.slowdowns[id] = &choice.Least{}
 			}
-			r.paces[id].Add(now, float64(p)/100)
+			r.slowdowns[id].Add(now, float64(p)/100)
 		}
-		q := r.units[ident.Service(x.GetService())]
+		q := r.serviceTimes[ident.Service(x.GetService())]
 		if q == nil {
 			q = &choice.Quantile{P: choice.UnitQuantile}
-			r.units[ident.Service(x.GetService())] = q
+			r.serviceTimes[ident.Service(x.GetService())] = q
 		}
 		for _, t := range x.GetTook_100Us() {
 			q.Add(float64(t) * float64(choice.SampleUnit))
@@ -82,43 +83,43 @@
 	}
 }
 
-// weight returns what a request counts for that came now.
-func (s *rate) weight(now mono.Time) float64 {
+// weight returns the weight of a request that is counted at time now.
+func (s *keyCounts) weight(now mono.Time) float64 {
 	w := math.Exp2(now.Sub(s.since).Seconds() / halfLife.Seconds())
-	if w < rescaleAt {
+	if w < maxWeight {
 		return w
 	}
-	for i := range s.n {
-		s.n[i] /= w
+	for i := range s.counts {
+		s.counts[i] /= w
 	}
 	s.since = now
 	return 1
 }
 
-// of returns a copy of a service's rates, nil before any count.
-func (r *rates) of(now mono.Time, n ident.Service) hold.Rates {
+// keyRates returns the request rates of a service in each bucket, or nil if no request was counted.
+func (r *measurements) keyRates(now mono.Time, n ident.Service) hold.Rates {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.services[n]
 	if s == nil {
 		return nil
 	}
-	// Counts that decay by halves sum up to their rate times halfLife / ln 2.
+	// At a constant rate, decayed counts add up to the rate times halfLife / ln 2.
 	f := math.Ln2 / halfLife.Seconds() / s.weight(now)
-	l := make(hold.Rates, len(s.n))
-	for i, x := range s.n {
+	l := make(hold.Rates, len(s.counts))
+	for i, x := range s.counts {
 		l[i] = x * f
 	}
 	return l
 }
 
-// work returns how long an undisturbed request takes at a server; 0 while nobody has measured it.
-func (r *rates) work(now mono.Time, n ident.Service, s ident.Server) time.Duration {
+// serviceTime returns the time of a request at a server without interference, or 0 if it was not measured.
+func (r *measurements) serviceTime(now mono.Time, n ident.Service, s ident.Server) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q, pace := r.units[n], r.paces[s]
-	if q == nil || pace == nil {
+	q, slowdown := r.serviceTimes[n], r.slowdowns[s]
+	if q == nil || slowdown == nil {
 		return 0
 	}
-	return time.Duration(q.Q * pace.At(now))
+	return time.Duration(q.Q * slowdown.At(now))
 }
--- a/io/grant/service.go
+++ b/io/grant/service.go
@@ -15,39 +15,39 @@
 	"heatherrouter/io/wire"
 )
 
-// service is the assignment of one service's keys in the present term.
+// service is the state of the assignment of one service's keys in the current term.
 type service struct {
-	name      ident.Service
-	table     *hold.Table
-	rev       store.Rev    // of its row; 0 while there is none
-	written   []hold.Piece // as the row has them
-	reserved  bool         // fences above those of earlier terms are reserved
-	writing   bool         // a transaction is under way
-	wrote     mono.Time    // when the last one was begun
-	first     mono.Time    // when servers were first seen for a service without a row
-	servers   int
-	since     mono.Time   // when their number last changed
-	holds     []hold.Hold // as the table had them when they were last published
-	published []hold.Hold
-	planned   bool          // since they were last published
-	targets   []hold.Target // as last planned with
-	rates     hold.Rates
+	name             ident.Service
+	table            *hold.Table
+	rev              store.Rev    // revision of its row; 0 if it has none
+	stored           []hold.Piece // assignments in the row
+	fencesReserved   bool         // whether the row reserves fences above those of earlier terms
+	writing          bool         // whether a transaction is in progress
+	writeStartedAt   mono.Time    // when the plan last started a transaction
+	firstSeenAt      mono.Time    // when a service without a row was first seen to have servers
+	serverCount      int
+	serversChangedAt mono.Time   // when serverCount last changed
+	holds            []hold.Hold // holds of the table when they were last published
+	published        []hold.Hold
+	replanned        bool          // whether a plan was made since the holds were last published
+	targets          []hold.Target // targets of the last plan
+	rates            hold.Rates
 }
 
-// open reads the assignment as the store has it.
-func (g *Granter) open(n ident.Service, now mono.Time) *service {
+// loadService reads the assignment of a service from the feed. It returns nil if the row can't be decoded.
+func (g *Granter) loadService(n ident.Service, now mono.Time) *service {
 	x := &service{name: n}
 	row, ok := g.o.Feed.Row(feed.KeysRow(n))
 	w := &wire.KeysRow{}
 	if ok {
 		if err := proto.Unmarshal(row.Value, w); err != nil {
-			g.o.Log.Error().Err(err).Str("service", string(n)).Msg("assignment can't be read, its keys stay where they are")
+			g.o.Log.Error().Err(err).Str("service", string(n)).Msg("assignment not decoded, its keys stay where they are")
 			return nil
 		}
 		x.rev = row.Rev
 	}
 	for _, p := range w.GetPieces() {
-		x.written = append(x.written, hold.Piece{
+		x.stored = append(x.stored, hold.Piece{
 			Range:    hold.Range{First: hold.Key(p.GetFirst()), Last: hold.Key(p.GetLast())}, //nolint:gosec // keys as encoded
 			Owner:    hold.Life{Server: ident.Server(p.GetServer()), Born: p.GetBorn()},
 			Previous: hold.Life{Server: ident.Server(p.GetPrevious()), Born: p.GetPreviousBorn()},
@@ -55,9 +55,9 @@
 	}
 	r := hold.Reserved{
 		Fence: hold.Fence(w.GetFence()),
-		Hold:  max(g.o.Terms.Hold, time.Duration(w.GetHoldMs())*time.Millisecond), //nolint:gosec // below an hour
+		Hold:  max(g.o.Timing.Hold, time.Duration(w.GetHoldMs())*time.Millisecond), //nolint:gosec // below an hour
 	}
-	x.table = hold.New(now, g.o.Terms, x.written, r, g.orderedUntil.Add(g.o.Terms.Lapse(r.Hold)))
+	x.table = hold.New(now, g.o.Timing, x.stored, r, g.earlierOrdersEnd.Add(g.o.Timing.Lapse(r.Hold)))
 	g.services[n] = x
 	return x
 }
@@ -73,12 +73,12 @@
 	return proto.Marshal(w)
 }
 
-// settledAfter is for how long ranges whose last holders are free are left as written. While keys move, the next change of
-// ranges says so as well.
-const settledAfter = 3 * time.Second
+// settledWriteDelay is the least time between transactions before one that only removes released previous owners from the
+// row. While keys move, the next change of ranges removes them as well.
+const settledWriteDelay = 3 * time.Second
 
-// keep plans, writes and carries out; it returns when to look again.
-func (g *Granter) keep(s *site.Snapshot, x *service, due bool) mono.Time {
+// updateService plans and writes the assignment, sends the orders that are due, and returns the time of the next update.
+func (g *Granter) updateService(s *site.Snapshot, x *service, due bool) mono.Time {
 	now := g.o.Clock.Now()
 	x.table.Reborn(now, func(id ident.Server) (int64, bool) {
 		y := s.Servers[id]
@@ -87,55 +87,55 @@
 		}
 		return y.Born, true
 	})
-	if x.rev == 0 && !x.settled(now, len(g.targets(s, x, now))) {
-		return now.Add(settle)
+	if x.rev == 0 && !x.serversSettled(now, len(g.targets(s, x, now))) {
+		return now.Add(settleDelay)
 	}
 	if !x.writing && (due || g.mustMove(s, x)) {
 		g.plan(x, g.targets(s, x, now), now)
 	}
 	if x.rev == 0 {
-		return now.Add(planEvery)
+		return now.Add(planInterval)
 	}
-	if !x.reserved || !x.table.HasFences() {
+	if !x.fencesReserved || !x.table.HasFences() {
 		if !x.writing {
 			g.write(x, x.table.Pieces())
 		}
-		return now.Add(lookEvery)
+		return now.Add(pollInterval)
 	}
 	orders, next := x.table.Orders(g.o.Clock.Now())
 	for _, o := range orders {
-		g.send(x.name, o)
+		g.sendOrder(x.name, o)
 	}
 	return next
 }
 
-// admitted returns the holds with the share of the requests to send for each; it reports whether they have changed.
-func (x *service) admitted() bool {
+// updatePublished updates the holds to publish, with the share of requests to admit for each, and reports whether they changed.
+func (x *service) updatePublished() bool {
 	l := x.table.Holds()
-	if !x.planned && slices.Equal(l, x.holds) {
+	if !x.replanned && slices.Equal(l, x.holds) {
 		return false
 	}
-	x.holds, x.planned = l, false
-	was := x.published
+	x.holds, x.replanned = l, false
+	prev := x.published
 	x.published = hold.Admit(l, x.targets, x.rates)
-	return !slices.Equal(was, x.published)
+	return !slices.Equal(prev, x.published)
 }
 
-// settled reports whether the servers of a service without an assignment are all there, as far as can be told.
-func (x *service) settled(now mono.Time, servers int) bool {
+// serversSettled reports whether the set of servers is stable enough to assign the keys of a service without an assignment.
+func (x *service) serversSettled(now mono.Time, servers int) bool {
 	if servers == 0 {
 		return false
 	}
-	if x.first == 0 {
-		x.first = now
+	if x.firstSeenAt == 0 {
+		x.firstSeenAt = now
 	}
-	if servers != x.servers {
-		x.servers, x.since = servers, now
+	if servers != x.serverCount {
+		x.serverCount, x.serversChangedAt = servers, now
 	}
-	return now.Sub(x.since) >= settle || now.Sub(x.first) >= settleMost
+	return now.Sub(x.serversChangedAt) >= settleDelay || now.Sub(x.firstSeenAt) >= maxSettleDelay
 }
 
-// mustMove reports whether some keys are with a server that may not have them.
+// mustMove reports whether some keys are owned by a server that may not hold keys.
 func (g *Granter) mustMove(s *site.Snapshot, x *service) bool {
 	for _, p := range x.table.Pieces() {
 		o := s.Servers[p.Owner.Server]
@@ -146,34 +146,34 @@
 	return false
 }
 
-// targets returns the servers that may hold keys. One that has ended is announced for seconds more.
+// targets returns the servers that may hold keys. It leaves out those known to have ended, which stay announced for seconds.
 func (g *Granter) targets(s *site.Snapshot, v *service, now mono.Time) []hold.Target {
 	var l []hold.Target
 	for _, x := range s.Service(v.name) {
-		life := hold.Life{Server: x.ID, Born: x.Born}
-		if s.Takes(x) && !v.table.HasEnded(life) {
+		inc := hold.Life{Server: x.ID, Born: x.Born}
+		if s.Takes(x) && !v.table.HasEnded(inc) {
 			l = append(l, hold.Target{
-				Life: life, Cold: now.Before(x.ColdUntil), Slots: x.Slots, Work: g.rates.work(now, v.name, x.ID),
+				Life: inc, Cold: now.Before(x.ColdUntil), Slots: x.Slots, Work: g.measurements.serviceTime(now, v.name, x.ID),
 			})
 		}
 	}
 	return l
 }
 
-// plan works out the next assignment and has it written.
+// plan computes the next assignment and starts to write it if it has changed.
 func (g *Granter) plan(x *service, targets []hold.Target, now mono.Time) {
 	pieces := x.table.Pieces()
-	x.targets, x.rates, x.planned = targets, g.rates.of(now, x.name), true
+	x.targets, x.rates, x.replanned = targets, g.measurements.keyRates(now, x.name), true
 	next, changed := hold.Plan(pieces, targets, x.rates)
-	// Ranges whose last holder is surely free are written down so, for a coordinator to come that would ask it again.
-	if changed || now.Sub(x.wrote) >= settledAfter && settledRow(x.written, pieces) {
-		x.wrote = now
+	// Released previous owners are removed from the row, so that a later coordinator doesn't send them another release.
+	if changed || now.Sub(x.writeStartedAt) >= settledWriteDelay && previousOwnersCleared(x.stored, pieces) {
+		x.writeStartedAt = now
 		g.write(x, next)
 	}
 }
 
-// settledRow reports whether the row names previous holders and the table no longer does.
-func settledRow(row, now []hold.Piece) bool {
+// previousOwnersCleared reports whether the row names previous owners and the table no longer does.
+func previousOwnersCleared(row, now []hold.Piece) bool {
 	for _, p := range now {
 		if p.Previous != (hold.Life{}) {
 			return false
--- a/io/grant/voters.go
+++ b/io/grant/voters.go
@@ -15,10 +15,11 @@
 	"heatherrouter/io/wire"
 )
 
-// reviseEvery is how often voters are replaced at most. Daemons restarted in turn are away for seconds each.
-const reviseEvery = 3 * time.Second
+// replaceVotersInterval is the least time between replacements of voters. In a rolling restart, each daemon is away for
+// seconds.
+const replaceVotersInterval = 3 * time.Second
 
-func names(l []ident.Daemon) []string {
+func daemonNames(l []ident.Daemon) []string {
 	s := make([]string, 0, len(l))
 	for _, d := range l {
 		s = append(s, string(d))
@@ -26,10 +27,9 @@
 	return s
 }
 
-// replaceVoters writes down others in place of voters that are gone, and ends a term's standing without support once a
-// quorum supports it again.
+// replaceVoters replaces voters that are gone, and clears the term's WithoutQuorum flag once a quorum supports it again.
 //
-// The transaction's end may be unknown, and it may be carried out later. Until the row is known in a newer revision the
+// The outcome of the transaction may be unknown, and it may be applied later. Until a newer revision of the row is known, the
 // same voters are proposed again, and the coordinator needs a quorum of both sets.
 func (g *Granter) replaceVoters(c context.Context, s *site.Snapshot, supported bool) {
 	now := g.o.Clock.Now()
@@ -39,23 +39,23 @@
 		var changed bool
 		next, changed = elect.ReplaceVoters(g.o.Self, s.Voters, s.Daemons)
 		due := changed || s.Coordinator.WithoutQuorum && supported
-		if !due || now.Sub(g.revised) < reviseEvery {
+		if !due || now.Sub(g.votersRevisedAt) < replaceVotersInterval {
 			return
 		}
 	}
-	if g.writing() {
-		return // its transaction expects the row's present revision
+	if g.anyWriting() {
+		return // that transaction expects the current revision of the coordinator's row
 	}
-	g.revised = now
+	g.votersRevisedAt = now
 	v, err := proto.Marshal(&wire.CoordinatorRow{
-		Daemon: string(g.o.Self), Incarnation: uint64(g.o.Life), Term: uint64(g.term), Clean: s.Coordinator.Clean,
-		WithoutQuorum: s.Coordinator.WithoutQuorum && !supported, Voters: names(next),
+		Daemon: string(g.o.Self), Incarnation: uint64(g.o.Incarnation), Term: uint64(g.term), Clean: s.Coordinator.Clean,
+		WithoutQuorum: s.Coordinator.WithoutQuorum && !supported, Voters: daemonNames(next),
 	})
 	if err != nil {
 		g.o.Log.Error().Err(err).Msg("coordinator's row not encoded")
 		return
 	}
-	x, cancel := context.WithTimeout(c, storeLimit)
+	x, cancel := context.WithTimeout(c, storeTimeout)
 	defer cancel()
 	g.o.Feed.Propose(next)
 	rev, err := g.o.Store.Commit(x, store.Txn{
@@ -63,19 +63,19 @@
 		Put:    []store.Row{{Key: feed.CoordinatorRow, Value: v}},
 	})
 	if err != nil {
-		g.o.Log.Info().Err(err).Strs("voters", names(next)).Msg("voters not replaced")
+		g.o.Log.Info().Err(err).Strs("voters", daemonNames(next)).Msg("voters not replaced")
 		if first && errors.Is(err, store.ErrNotDone) {
-			g.o.Feed.Propose(nil) // an earlier try may have succeeded, or yet succeed
+			g.o.Feed.Propose(nil) // only on the first attempt: an earlier one may have been applied, or may yet be
 		}
 		return
 	}
-	g.o.Log.Info().Strs("voters", names(next)).Bool("without-quorum", s.Coordinator.WithoutQuorum && !supported).Msg("voters replaced")
+	g.o.Log.Info().Strs("voters", daemonNames(next)).Bool("without-quorum", s.Coordinator.WithoutQuorum && !supported).Msg("voters replaced")
 	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
-	g.followRow()
+	g.updateRev()
 }
 
-// writing reports whether the transaction of some assignment is under way.
-func (g *Granter) writing() bool {
+// anyWriting reports whether the transaction of any assignment is in progress.
+func (g *Granter) anyWriting() bool {
 	for _, x := range g.services {
 		if x.writing {
 			return true
@@ -84,8 +84,8 @@
 	return false
 }
 
-// followRow takes in the revision of the coordinator's row: only this life writes it in its term.
-func (g *Granter) followRow() {
+// updateRev takes the revision of the coordinator's row from the feed: in its term, only this incarnation writes the row.
+func (g *Granter) updateRev() {
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
 	if g.o.Feed.Snapshot().Coordinator.Term == g.term {
 		g.rev = max(g.rev, row.Rev)
--- a/io/grant/withdraw.go
+++ b/io/grant/withdraw.go
@@ -14,71 +14,71 @@
 )
 
 const (
-	// withdrawEvery is how often the voters are asked that haven't withdrawn their support.
-	withdrawEvery = 200 * time.Millisecond
-	withdrawLimit = 250 * time.Millisecond // for one answer
+	// withdrawInterval is the time between requests to the voters that haven't withdrawn their support.
+	withdrawInterval = 200 * time.Millisecond
+	withdrawTimeout  = 250 * time.Millisecond // timeout of one request
 )
 
-// withdrawal is a daemon's answer that coordinators up to the term have no support of it any more, now or later.
+// withdrawal is a daemon's answer to the request to withdraw its support, for good, from coordinators of terms up to term.
 type withdrawal struct {
-	term  site.Term
-	from  ident.Daemon
-	row   store.Rev // of the daemon's row when it was asked
-	given bool
+	term      site.Term
+	from      ident.Daemon
+	rowRev    store.Rev // revision of the daemon's row when the request was sent
+	withdrawn bool
 }
 
-// askWithdrawals asks the voters to withdraw their support of the present coordinator; it reports whether a quorum has.
-func (g *Granter) askWithdrawals(s *site.Snapshot) bool {
+// requestWithdrawals asks the voters to withdraw their support of the current coordinator, and reports whether a quorum has.
+func (g *Granter) requestWithdrawals(s *site.Snapshot) bool {
 	term, now := s.Coordinator.Term, g.o.Clock.Now()
-	if g.against != term {
-		g.against, g.given, g.asked = term, map[ident.Daemon]store.Rev{}, 0
+	if g.withdrawTerm != term {
+		g.withdrawTerm, g.withdrawnRows, g.withdrawalsRequestedAt = term, map[ident.Daemon]store.Rev{}, 0
 	}
-	if now.Sub(g.asked) >= withdrawEvery {
-		g.asked = now
+	if now.Sub(g.withdrawalsRequestedAt) >= withdrawInterval {
+		g.withdrawalsRequestedAt = now
 		if slices.Contains(s.Voters, g.o.Self) && g.o.Feed.Withdraw(term) {
-			g.takeWithdrawal(withdrawal{term: term, from: g.o.Self, row: g.rowOf(g.o.Self), given: true})
+			g.handleWithdrawal(withdrawal{term: term, from: g.o.Self, rowRev: g.daemonRev(g.o.Self), withdrawn: true})
 		}
 		for _, d := range s.Voters {
-			if d == g.o.Self || g.given[d] > 0 || s.Daemons[d] == nil {
+			if d == g.o.Self || g.withdrawnRows[d] > 0 || s.Daemons[d] == nil {
 				continue
 			}
-			row := g.rowOf(d) // as before the answer: if the daemon starts again, the row is another
+			row := g.daemonRev(d) // read before the answer: if the daemon restarts, the revision changes
 			g.group.Go(func(c context.Context) error {
-				g.ask(c, withdrawal{term: term, from: d, row: row})
+				g.requestWithdrawal(c, withdrawal{term: term, from: d, rowRev: row})
 				return nil
 			})
 		}
 	}
 	n := 0
 	for _, d := range s.Voters {
-		if g.given[d] > 0 {
+		if g.withdrawnRows[d] > 0 {
 			n++
 		}
 	}
 	return elect.IsQuorum(n, len(s.Voters))
 }
 
-func (g *Granter) rowOf(d ident.Daemon) store.Rev {
+func (g *Granter) daemonRev(d ident.Daemon) store.Rev {
 	r, _ := g.o.Feed.Row(feed.DaemonRow(d))
 	return r.Rev
 }
 
-func (g *Granter) ask(c context.Context, w withdrawal) {
-	x, cancel := context.WithTimeout(c, withdrawLimit)
+func (g *Granter) requestWithdrawal(c context.Context, w withdrawal) {
+	x, cancel := context.WithTimeout(c, withdrawTimeout)
 	defer cancel()
 	r, err := g.peers.Call(x, w.from, &wire.Call{Body: &wire.Call_Withdraw{Withdraw: &wire.Withdraw{Term: uint64(w.term)}}})
 	if err != nil {
-		return // it is asked again
+		return // the request is repeated
 	}
-	w.given = r.GetWithdrawn().GetGiven()
+	w.withdrawn = r.GetWithdrawn().GetGiven()
 	select {
 	case g.withdrawals <- w:
 	case <-c.Done():
 	}
 }
 
-func (g *Granter) takeWithdrawal(w withdrawal) {
-	if w.term == g.against && w.given && w.row > 0 {
-		g.given[w.from] = w.row
+func (g *Granter) handleWithdrawal(w withdrawal) {
+	if w.term == g.withdrawTerm && w.withdrawn && w.rowRev > 0 {
+		g.withdrawnRows[w.from] = w.rowRev
 	}
 }
--- a/io/grant/write.go
+++ b/io/grant/write.go
@@ -15,26 +15,26 @@
 	"heatherrouter/io/wire"
 )
 
-// written is the end of a transaction with an assignment.
-type written struct {
-	term     site.Term
-	service  ident.Service
-	pieces   []hold.Piece
-	reserved hold.Reserved
-	value    []byte
-	rev      store.Rev
-	err      error
-	rows     []store.Row // of the control table, read after an end that tells nothing
+// writeResult is the outcome of a transaction that writes an assignment.
+type writeResult struct {
+	term        site.Term
+	service     ident.Service
+	assignments []hold.Piece
+	reservation hold.Reserved
+	value       []byte
+	rev         store.Rev
+	err         error
+	rows        []store.Row // control table, read after a transaction with an unknown outcome or a conflict
 }
 
-// write writes an assignment; only what is written is carried out.
+// write starts to write an assignment to the store. It is carried out only once it is written.
 //
-// It waits for the store on a goroutine of its own: the duty that waited itself would renew no grant meanwhile, and all
-// keys would be nobody's two seconds after the store fell silent.
+// A goroutine of its own waits for the store: if the goroutine of run waited, it would renew no grants, and all keys would be
+// without an owner two seconds after the store stopped responding.
 func (g *Granter) write(x *service, l []hold.Piece) {
-	w := written{term: g.term, service: x.name, pieces: l, reserved: x.table.Reserve(g.o.Clock.Now(), g.ranges(x, l))}
+	w := writeResult{term: g.term, service: x.name, assignments: l, reservation: x.table.Reserve(g.o.Clock.Now(), g.rangeCount(x, l))}
 	var err error
-	if w.value, err = encodeKeys(l, w.reserved); err != nil {
+	if w.value, err = encodeKeys(l, w.reservation); err != nil {
 		g.o.Log.Error().Err(err).Str("service", string(x.name)).Msg("assignment not encoded")
 		return
 	}
@@ -45,43 +45,43 @@
 	}
 	x.writing = true
 	g.group.Go(func(c context.Context) error {
-		g.transact(c, t, &w)
+		g.commit(c, t, &w)
 		select {
-		case g.written <- w:
+		case g.writeResults <- w:
 		case <-c.Done():
 		}
 		return nil
 	})
 }
 
-// ranges returns how many ranges this coordinator renews once a service has these.
-func (g *Granter) ranges(x *service, l []hold.Piece) int {
+// rangeCount returns how many ranges this coordinator renews once service x has the assignments l.
+func (g *Granter) rangeCount(x *service, l []hold.Piece) int {
 	n := len(l)
 	for _, y := range g.services {
 		if y != x {
-			n += len(y.written)
+			n += len(y.stored)
 		}
 	}
 	return n
 }
 
-// transact makes the transaction. After one whose end isn't known, or that met another's, it reads what the store has. One
-// whose answer was lost may still be carried out later: then the next conflicts, and the rows are read again.
-func (g *Granter) transact(c context.Context, t store.Txn, w *written) {
+// commit commits the transaction. After a conflict or an unknown outcome it reads the control table. A transaction whose
+// answer was lost may still be applied later: the next one then conflicts, and the rows are read again.
+func (g *Granter) commit(c context.Context, t store.Txn, w *writeResult) {
 	w.rev, w.err = g.o.Store.Commit(c, t)
 	if w.err == nil || errors.Is(w.err, store.ErrNotDone) {
 		return
 	}
 	p, err := g.o.Store.List(c, store.Control)
 	if err != nil {
-		g.o.Log.Warn().Err(err).Msg("store not read after a transaction of unknown end")
+		g.o.Log.Warn().Err(err).Msg("control table not read after transaction with unknown outcome")
 		return
 	}
 	w.rows = p.Rows
 }
 
-// takeWritten takes in the end of a transaction.
-func (g *Granter) takeWritten(w written) {
+// handleWriteResult applies the outcome of a transaction to its service.
+func (g *Granter) handleWriteResult(w writeResult) {
 	x := g.services[w.service]
 	if w.term != g.term || x == nil {
 		return
@@ -90,33 +90,33 @@
 	key := feed.KeysRow(w.service)
 	if w.err == nil {
 		g.o.Feed.Learn([]store.Row{{Key: key, Value: w.value, Rev: w.rev}})
-		if changed := !slices.Equal(x.written, w.pieces); changed {
-			g.o.Log.Info().Str("service", string(w.service)).Int("ranges", len(w.pieces)).Msg("keys assigned")
+		if changed := !slices.Equal(x.stored, w.assignments); changed {
+			g.o.Log.Info().Str("service", string(w.service)).Int("ranges", len(w.assignments)).Msg("keys assigned")
 		}
-		x.rev, x.written, x.reserved = w.rev, w.pieces, true
-		x.table.Committed(g.o.Clock.Now(), w.pieces, w.reserved)
+		x.rev, x.stored, x.fencesReserved = w.rev, w.assignments, true
+		x.table.Committed(g.o.Clock.Now(), w.assignments, w.reservation)
 		return
 	}
-	g.o.Log.Warn().Err(w.err).Str("service", string(w.service)).Int("ranges", len(w.pieces)).Int("bytes", len(w.value)).Msg("assignment not written")
+	g.o.Log.Warn().Err(w.err).Str("service", string(w.service)).Int("ranges", len(w.assignments)).Int("bytes", len(w.value)).Msg("assignment not written")
 	g.o.Feed.Learn(w.rows)
 	for _, r := range w.rows {
 		if r.Key == key && r.Rev != x.rev {
 			g.o.Log.Info().Str("service", string(w.service)).Bool("own", string(r.Value) == string(w.value)).Msg("assignment read again")
-			g.adopt(x, r)
+			g.adoptRow(x, r)
 		}
 	}
 }
 
-// adopt goes on from what the store has. All that this coordinator has sent may still hold.
-func (g *Granter) adopt(x *service, r store.Row) {
+// adoptRow replaces the state of the service by the row in the store. Grants that this coordinator has sent may still be valid.
+func (g *Granter) adoptRow(x *service, r store.Row) {
 	if err := proto.Unmarshal(r.Value, &wire.KeysRow{}); err != nil {
-		g.o.Log.Error().Err(err).Str("service", string(x.name)).Msg("assignment can't be read")
+		g.o.Log.Error().Err(err).Str("service", string(x.name)).Msg("assignment not decoded")
 		return
 	}
 	now := g.o.Clock.Now()
-	g.orderedUntil = max(g.orderedUntil, now)
+	g.earlierOrdersEnd = max(g.earlierOrdersEnd, now)
 	published := x.published
-	if y := g.open(x.name, now); y != nil {
-		y.published, y.planned = published, true
+	if y := g.loadService(x.name, now); y != nil {
+		y.published, y.replanned = published, true
 	}
 }
--- a/io/grant/write_test.go
+++ b/io/grant/write_test.go
@@ -13,7 +13,7 @@
 	"heatherrouter/io/store"
 )
 
-// boundedStore takes values of at most so many bytes.
+// boundedStore rejects values of more than limit bytes.
 type boundedStore struct {
 	store.Store
 	limit int
@@ -28,13 +28,13 @@
 	return 1, nil
 }
 
-// Guards against an assignment of many servers that the store refuses, so that no key changes hands any more.
+// Guards against an assignment of many servers that is too large for the store, after which no key could move any more.
 func TestAssignmentOfManyServersIsWritten(t *testing.T) {
 	const servers, ranges, rowLimit = 1600, 3200, 64 << 10
 	rng := rand.New(rand.NewPCG(1, 28)) //nolint:gosec // drawn by a seed
-	var lives []hold.Life
+	var incarnations []hold.Life
 	for range servers {
-		lives = append(lives, hold.Life{
+		incarnations = append(incarnations, hold.Life{
 			Server: ident.Server(fmt.Sprintf("i-%010x", rng.Uint64()>>24)), Born: 1_790_000_000_000 + rng.Int64N(60_000),
 		})
 	}
@@ -42,10 +42,10 @@
 	for i := range ranges {
 		p := hold.Piece{
 			Range: hold.Range{First: hold.Key(i * 20), Last: hold.Key(i*20 + 19)}, //nolint:gosec // below 65536
-			Owner: lives[rng.IntN(servers)],
+			Owner: incarnations[rng.IntN(servers)],
 		}
 		if rng.IntN(10) == 0 {
-			p.Previous = lives[rng.IntN(servers)]
+			p.Previous = incarnations[rng.IntN(servers)]
 		}
 		pieces = append(pieces, p)
 	}
--- a/io/node/identity.go
+++ b/io/node/identity.go
@@ -17,18 +17,18 @@
 	"heatherrouter/core/site"
 )
 
-// peerProtocol is the name of the daemons' protocol in the TLS handshake.
+// peerProtocol is the ALPN name of the protocol between daemons.
 const peerProtocol = "heatherrouter"
 
-// keyLife is for how long a daemon's certificate is valid. Nobody checks it: a certificate is trusted for as long as its
-// fingerprint stands in the daemon's row.
-const keyLife = 10 * 365 * 24 * time.Hour
+// certValidity is how long before and after its creation a daemon's certificate is valid. Peers don't check the dates: a
+// certificate is trusted for as long as its fingerprint is in the daemon's row.
+const certValidity = 10 * 365 * 24 * time.Hour
 
-// identity is the key of one life of a daemon.
+// identity is the key and self-signed certificate of one incarnation of a daemon.
 //
-// Hosts have no disk that could keep a key, so each life makes its own and writes the fingerprint into its row. Whoever
-// may write rows is trusted with the whole site anyway; a caller or server that reaches the port of peers has no
-// fingerprint there, and is turned away.
+// Hosts have no disk that could keep a key, so each incarnation creates its own and writes the fingerprint to its row. A
+// process that may write rows is trusted with the whole site anyway. A caller or server that reaches the port for peers has
+// no fingerprint in a row and is rejected.
 type identity struct {
 	cert        tls.Certificate
 	fingerprint [sha256.Size]byte
@@ -42,7 +42,7 @@
 	}
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(1), DNSNames: []string{string(n)},
-		NotBefore: time.Now().Add(-keyLife), NotAfter: time.Now().Add(keyLife), // clocks of hosts may differ
+		NotBefore: time.Now().Add(-certValidity), NotAfter: time.Now().Add(certValidity), // clocks of hosts may differ
 	}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &k.PublicKey, k)
 	if err != nil {
@@ -69,15 +69,16 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: []string{peerProtocol}, Certificates: []tls.Certificate{i.cert},
 		ServerName:         string(to),
-		InsecureSkipVerify: true, // verified below, by the fingerprint
+		InsecureSkipVerify: true, // VerifyConnection checks the fingerprint instead
 		VerifyConnection:   func(x tls.ConnectionState) error { return i.verify(x, to) },
 	}
 }
 
-// verify checks that the peer shows the certificate of the daemon's present life.
+// verify checks that the peer presents the certificate of the daemon's current incarnation. If name is empty, the certificate
+// states it.
 func (i *identity) verify(x tls.ConnectionState, name ident.Daemon) error {
 	if len(x.PeerCertificates) == 0 || len(x.PeerCertificates[0].DNSNames) == 0 {
-		return trace.AccessDenied("peer shows no certificate with a name")
+		return trace.AccessDenied("peer presents no certificate with a DNS name")
 	}
 	c := x.PeerCertificates[0]
 	if name == "" {
@@ -85,18 +86,18 @@
 	}
 	d := i.snapshot().Daemons[name]
 	if d == nil || d.Fingerprint != sha256.Sum256(c.Raw) {
-		return trace.AccessDenied("peer %q shows a certificate that isn't written down for it", name)
+		return trace.AccessDenied("peer %q presents a certificate whose fingerprint isn't in its row", name)
 	}
 	return nil
 }
 
-// book finds the addresses of peers. It implements peer.Book.
-type book struct {
+// addressBook looks up the addresses of peers in the snapshot. It implements peer.Book.
+type addressBook struct {
 	snapshot func() *site.Snapshot
 }
 
 // Addr implements peer.Book.
-func (b book) Addr(d ident.Daemon) (netip.AddrPort, bool) {
+func (b addressBook) Addr(d ident.Daemon) (netip.AddrPort, bool) {
 	x := b.snapshot().Daemons[d]
 	if x == nil {
 		return netip.AddrPort{}, false
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts the duties of a daemon together that runs against a platform's store: callers, backend servers,
-// peers, the copy of the store, and the coordinator's turn.
+// Package node assembles and runs a daemon on a platform's store: the ports for callers and peers, requests to backend
+// servers, the copy of the store, and the coordinator's work.
 package node
 
 import (
@@ -39,15 +39,15 @@
 	"heatherrouter/io/wire"
 )
 
-// Platform is everything that is spoken in words of a platform's own.
+// Platform holds the parts that depend on the platform: its store, its data formats and its protocol with backend servers.
 type Platform struct {
-	Store   store.Store
-	Decoder feed.Decoder
-	Dialect send.Dialect
-	Speaker grant.Speaker
+	Store      store.Store
+	Decoder    feed.Decoder
+	Dialect    send.Dialect
+	OrderCodec grant.OrderCodec
 }
 
-// Options are what a Node needs.
+// Options configure a Node.
 type Options struct {
 	Settings *Settings
 	Platform Platform
@@ -57,34 +57,35 @@
 
 // Node is one running daemon.
 type Node struct {
-	o       Options
-	life    ident.Incarnation
-	group   *group.Group
-	clock   *clock.Clock
-	meter   *meter.Meter
-	id      *identity
-	feed    *feed.Feed
-	granter *grant.Granter
-	sender  *send.Sender
-	limiter *limit.Limiter
-	guard   *guard.Guard
-	peers   *peer.Transport
-	front   *front.Front
-	pages   *fasthttp.Server
-	leaving atomic.Bool
+	o            Options
+	incarnation  ident.Incarnation
+	group        *group.Group
+	clock        *clock.Clock
+	meter        *meter.Meter
+	id           *identity
+	feed         *feed.Feed
+	granter      *grant.Granter
+	sender       *send.Sender
+	limiter      *limit.Limiter
+	guard        *guard.Guard
+	peers        *peer.Transport
+	front        *front.Front
+	statusServer *fasthttp.Server
+	leaving      atomic.Bool
 }
 
-// memoryShare is the part of its memory limit at which the process collects garbage however busy it is.
-const memoryShare = 0.7
+// softMemoryRatio is the share of the memory limit of the process that is set as the Go runtime's soft limit: from there on it
+// collects garbage however busy it is.
+const softMemoryRatio = 0.7
 
-// New starts a daemon.
+// New starts a daemon. The caller ends it with Shutdown and Stop, or with Stop alone.
 func New(c context.Context, o Options) (*Node, error) {
 	o.Platform.Store = store.Packed(o.Platform.Store)
-	n := &Node{o: o, life: ident.Incarnation(time.Now().UnixNano()), group: group.New(c), clock: clock.New()} //nolint:gosec // a time after 1970
+	n := &Node{o: o, incarnation: ident.Incarnation(time.Now().UnixNano()), group: group.New(c), clock: clock.New()} //nolint:gosec // a time after 1970
 	if o.Settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(o.Settings.Memory) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(o.Settings.Memory) * softMemoryRatio))
 	}
-	if err := n.build(); err != nil {
+	if err := n.start(); err != nil {
 		n.group.Stop()
 		return nil, err
 	}
@@ -93,25 +94,26 @@
 	return n, nil
 }
 
-func (n *Node) build() error {
+// start creates the components, opens the ports and starts the goroutines.
+func (n *Node) start() error {
 	s := n.o.Settings
 	var err error
 	if n.meter, err = meter.New(); err != nil {
 		return err
 	}
 	n.feed = feed.New(feed.Options{
-		Self: s.Name, Life: n.life, Store: n.o.Platform.Store, Decoder: n.o.Platform.Decoder, Clock: n.clock, Log: n.o.Log,
+		Self: s.Name, Life: n.incarnation, Store: n.o.Platform.Store, Decoder: n.o.Platform.Decoder, Clock: n.clock, Log: n.o.Log,
 		Measures: func() ([]*wire.KeyCount, []*wire.ServerWork) { return n.sender.Measures() },
-		Measured: func(l []*wire.KeyCount, w []*wire.ServerWork) { n.granter.Measured(l, w) },
+		Measured: func(l []*wire.KeyCount, w []*wire.ServerWork) { n.granter.AddMeasurements(l, w) },
 		Quota:    quotaClient{n},
 	})
 	n.limiter = limit.New(limit.Options{
-		Self: s.Name, Life: n.life, View: n.feed, Clock: n.clock, Log: n.o.Log,
+		Self: s.Name, Life: n.incarnation, View: n.feed, Clock: n.clock, Log: n.o.Log,
 		Terms: quota.Terms{Window: s.Limits.QuotaWindow, Overshoot: s.Limits.QuotaOvershoot, Slack: s.Limits.QuotaSlack},
 	})
 	n.granter = grant.New(grant.Options{
-		Self: s.Name, Life: n.life, Feed: n.feed, Store: n.o.Platform.Store, Speaker: n.o.Platform.Speaker,
-		Terms: hold.DefaultTerms(s.Limits.MaxHold), Clock: n.clock, Log: n.o.Log,
+		Self: s.Name, Incarnation: n.incarnation, Feed: n.feed, Store: n.o.Platform.Store, OrderCodec: n.o.Platform.OrderCodec,
+		Timing: hold.DefaultTerms(s.Limits.MaxGrantTTL), Clock: n.clock, Log: n.o.Log,
 	})
 	n.guard = guard.New(guard.Options{
 		View: n.feed, Store: n.o.Platform.Store, Clock: n.clock, Counter: n.meter, Log: n.o.Log, Dial: guard.Dial,
@@ -130,7 +132,7 @@
 		return err
 	}
 	n.peers, err = peer.New(n.group.Context(), peer.Options{
-		Self: s.Name, Listen: s.Peer, Book: book{n.feed.Snapshot}, TLS: n.id, Handler: handler{n.feed, n.limiter}, Log: n.o.Log,
+		Self: s.Name, Listen: s.Peer, Book: addressBook{n.feed.Snapshot}, TLS: n.id, Handler: peerHandler{n.feed, n.limiter}, Log: n.o.Log,
 	})
 	if err != nil {
 		l.close()
@@ -142,50 +144,50 @@
 	n.granter.Run(n.group, n.peers)
 	n.limiter.Run(n.group, n.peers)
 	n.guard.Run(n.group)
-	n.group.Go(n.follow)
+	n.group.Go(n.maintain)
 	return nil
 }
 
-// listeners are the open ports for callers, the balancer and operators.
+// listeners are the open ports for callers (entry) and for the balancer and operators (status).
 type listeners struct {
-	entry net.Listener
-	pages []net.Listener
+	entry  net.Listener
+	status []net.Listener
 }
 
-// listen opens the ports before any duty starts. With one of them taken, as by somebody's outgoing connection while the
-// daemon was down, a daemon that has begun to take callers would have to be taken down again; refused for good by one that
-// neither serves nor ends, they would not reach those that do.
+// listen opens the ports before any component starts. A port may be in use, for example by an outgoing connection that another
+// process opened while the daemon was down. If the daemon already accepted callers then, it would have to be shut down again. A
+// daemon that neither serves nor ends would refuse callers for good, and they would not reach the daemons that serve.
 func (n *Node) listen() (listeners, error) {
 	s := n.o.Settings
 	var x listeners
 	var err error
 	if x.entry, err = net.Listen("tcp", s.Entry.String()); err != nil {
-		return x, trace.Wrap(err, "address for callers %v", s.Entry)
+		return x, trace.Wrap(err, "listen for callers on %v", s.Entry)
 	}
 	for _, a := range []netip.AddrPort{s.Ready, s.Admin} {
 		l, err := net.Listen("tcp", a.String())
 		if err != nil {
 			x.close()
-			return x, trace.Wrap(err, "address for pages %v", a)
+			return x, trace.Wrap(err, "listen for status requests on %v", a)
 		}
-		x.pages = append(x.pages, l)
+		x.status = append(x.status, l)
 	}
 	return x, nil
 }
 
 func (x listeners) close() {
 	x.entry.Close()
-	for _, l := range x.pages {
+	for _, l := range x.status {
 		l.Close()
 	}
 }
 
-// serve starts to take callers and to answer the balancer and operators.
+// serve starts to accept callers and to answer the balancer and operators.
 func (n *Node) serve(x listeners) {
 	n.front = front.New(n.group, front.Options{Listen: x.entry, Limits: n.limits, Handler: n.sender.Handle, Away: n.isolated})
-	n.pages = &fasthttp.Server{Handler: n.page, NoDefaultServerHeader: true}
-	for _, l := range x.pages {
-		n.group.Go(func(context.Context) error { return n.pages.Serve(l) })
+	n.statusServer = &fasthttp.Server{Handler: n.handleStatus, NoDefaultServerHeader: true}
+	for _, l := range x.status {
+		n.group.Go(func(context.Context) error { return n.statusServer.Serve(l) })
 	}
 }
 
@@ -196,16 +198,16 @@
 	return site.DefaultLimits()
 }
 
-// announcePause is between two tries to write the daemon's row, half as much more or less: the rows of all daemons lie in
-// one part, and hundreds that start together write more than it takes at once.
-const announcePause = 500 * time.Millisecond
+// announceRetryDelay is the mean delay between attempts to write the daemon's row, with jitter of half of it either way. The
+// rows of all daemons are in one partition of the store, and hundreds of daemons that start together exceed its write rate.
+const announceRetryDelay = 500 * time.Millisecond
 
-// announce writes the daemon's row, by which peers find it, and again when somebody has dropped it: the coordinator takes
-// a daemon for gone that it hasn't heard of for a while.
+// announce writes the daemon's row, by which peers find it, and writes it again if it was deleted: the coordinator deletes the
+// rows of daemons that it has had no contact with for some time.
 func (n *Node) announce(c context.Context) error {
 	s := n.o.Settings
 	v, err := proto.Marshal(&wire.DaemonRow{
-		Domain: string(s.Domain), Peer: s.Peer.String(), Incarnation: uint64(n.life), Fingerprint: n.id.fingerprint[:],
+		Domain: string(s.Domain), Peer: s.Peer.String(), Incarnation: uint64(n.incarnation), Fingerprint: n.id.fingerprint[:],
 		Capacity: uint32(max(0, s.Capacity)), //nolint:gosec // thousandths of a host's cores
 	})
 	if err != nil {
@@ -217,48 +219,48 @@
 		rev, err := n.o.Platform.Store.Commit(c, store.Txn{Put: []store.Row{row}})
 		if err != nil {
 			n.o.Log.Warn().Err(err).Msg("daemon not announced")
-			clock.Sleep(c, announcePause/2+rand.N(announcePause))
+			clock.Sleep(c, announceRetryDelay/2+rand.N(announceRetryDelay))
 			continue
 		}
 		row.Rev = rev
 		n.feed.Announced(rev)
 		n.feed.Learn([]store.Row{row})
-		n.whileAnnounced(c)
+		n.waitUntilRowDeleted(c)
 	}
 	return nil
 }
 
-// announceDelay returns how long the daemon waits before it writes its row first. Rows of a whole site that starts again
-// would else hold up the transaction of whoever becomes its coordinator, which waits in line behind them: voters write at
-// once, the others spread over a time that grows with the site.
+// announceDelay returns how long the daemon waits before it first writes its row. Without the delay, when a whole site
+// restarts, the transaction of the new coordinator would queue behind the rows of all daemons. Voters write at once, and the others spread
+// their writes over a time that grows with the site.
 func (n *Node) announceDelay(c context.Context) time.Duration {
-	limit := time.Now().Add(readLimit)
-	for !n.feed.Read() && time.Now().Before(limit) && c.Err() == nil {
-		clock.Sleep(c, readLimit/20)
+	deadline := time.Now().Add(controlLoadTimeout)
+	for !n.feed.Read() && time.Now().Before(deadline) && c.Err() == nil {
+		clock.Sleep(c, controlLoadTimeout/20)
 	}
 	s := n.feed.Snapshot()
 	switch {
 	case slices.Contains(s.Voters, n.o.Settings.Name):
 		return 0
 	case s.Coordinator.Term == 0:
-		return rand.N(firstSpread)
+		return rand.N(firstStartSpread)
 	default:
-		return rand.N(time.Duration(max(1, len(s.Daemons))) * announceSpread)
+		return rand.N(time.Duration(max(1, len(s.Daemons))) * announceSpreadPerDaemon)
 	}
 }
 
 const (
-	readLimit      = 400 * time.Millisecond // for the control table at the start
-	firstSpread    = 400 * time.Millisecond // at the first start of a site, of a size that isn't known yet
-	announceSpread = 3 * time.Millisecond   // for each daemon of the site
+	controlLoadTimeout      = 400 * time.Millisecond // longest wait for the control table at the start
+	firstStartSpread        = 400 * time.Millisecond // at the first start of a site, whose size is unknown
+	announceSpreadPerDaemon = 3 * time.Millisecond   // multiplied by the number of daemons of the site
 )
 
-// whileAnnounced returns when the daemon's row is gone.
-func (n *Node) whileAnnounced(c context.Context) {
+// waitUntilRowDeleted returns when the daemon's row is deleted or the context ends.
+func (n *Node) waitUntilRowDeleted(c context.Context) {
 	for c.Err() == nil {
 		changed := n.feed.Changed()
 		if _, ok := n.feed.Row(feed.DaemonRow(n.o.Settings.Name)); !ok && !n.leaving.Load() {
-			n.o.Log.Warn().Msg("daemon's row was dropped")
+			n.o.Log.Warn().Msg("daemon's row was deleted, writing it again")
 			return
 		}
 		select {
@@ -268,11 +270,12 @@
 	}
 }
 
-// pruneEvery is how often connections to servers that are gone are closed.
-const pruneEvery = time.Second
+// pruneInterval is the time between passes that close connections to servers that are gone.
+const pruneInterval = time.Second
 
-func (n *Node) follow(c context.Context) error {
-	t := time.NewTicker(pruneEvery)
+// maintain prunes the connections to servers, and passes this daemon's own measurements on while it is the coordinator.
+func (n *Node) maintain(c context.Context) error {
+	t := time.NewTicker(pruneInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -281,34 +284,34 @@
 		case <-t.C:
 			n.sender.Prune()
 			if n.feed.Leads() {
-				n.granter.Measured(n.sender.Measures())
+				n.granter.AddMeasurements(n.sender.Measures())
 			}
 		}
 	}
 }
 
-// isolatedAfter is for how long a daemon is cut off when it sends callers elsewhere. An exchange with the coordinator may
-// fail once, and takes 0.7 s then.
-const isolatedAfter = 2 * time.Second
+// isolatedThreshold is how long a daemon must be isolated before it reports that it isn't ready. One exchange with the
+// coordinator may fail, which takes 0.7 s.
+const isolatedThreshold = 2 * time.Second
 
-// isolated reports whether the daemon is cut off from the rest of its site. It would refuse most callers, while others,
-// where the balancer sends them when a daemon isn't ready, can serve them. An outage of the store alone is no such reason.
+// isolated reports whether the daemon is isolated from the rest of its site. It would refuse most callers, and the balancer
+// sends them to daemons that can serve them if this one isn't ready. An outage of the store alone doesn't count.
 func (n *Node) isolated() bool {
-	return n.feed.Cut() > isolatedAfter
+	return n.feed.Cut() > isolatedThreshold
 }
 
-// Ready reports whether the daemon takes callers.
+// Ready reports whether the balancer may send callers to the daemon.
 func (n *Node) Ready() bool {
 	return !n.leaving.Load() && n.feed.Known() && !n.isolated()
 }
 
-// page answers the balancer and operators.
-func (n *Node) page(x *fasthttp.RequestCtx) {
+// handleStatus answers the balancer and operators. Any path other than /metrics and /state is the readiness check.
+func (n *Node) handleStatus(x *fasthttp.RequestCtx) {
 	switch string(x.Path()) {
 	case "/metrics":
 		n.meter.Page()(x)
 	case "/state":
-		n.state(x)
+		n.handleState(x)
 	default:
 		if !n.Ready() {
 			x.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -316,61 +319,62 @@
 	}
 }
 
-// Wait waits until a duty has failed or the parent context has ended.
+// Wait waits until a component has failed or the parent context has ended.
 func (n *Node) Wait() error { return n.group.Wait() }
 
-// Done ends when the daemon does.
+// Done returns a channel that is closed when the daemon ends.
 func (n *Node) Done() <-chan struct{} { return n.group.Context().Done() }
 
 const (
-	// outOfRotation is how long after the daemon has called itself not ready it still takes connections: balancers ask
-	// once a second and believe the second answer.
-	outOfRotation = 3 * time.Second
+	// outOfRotationDelay is how long the daemon still accepts connections after it reports that it isn't ready: balancers
+	// check once a second and act on the second failed check.
+	outOfRotationDelay = 3 * time.Second
 
-	// leaveMargin is left of the grace for the end of the process itself.
-	leaveMargin = 500 * time.Millisecond
+	// exitMargin is the part of the grace period that is left for the exit of the process.
+	exitMargin = 500 * time.Millisecond
 
-	// giveUpTime is for the last answers to be written.
-	giveUpTime = 150 * time.Millisecond
+	// abortTimeout bounds the time to write the responses to aborted requests.
+	abortTimeout = 150 * time.Millisecond
 
-	// withdrawLimit is for dropping the daemon's row; one that stays costs the others a share of what is bounded for all.
-	withdrawLimit = 200 * time.Millisecond
+	// deleteRowTimeout bounds the deletion of the daemon's row. A row that stays takes a share of the site's limits from the
+	// other daemons.
+	deleteRowTimeout = 200 * time.Millisecond
 )
 
-// Leave stops the daemon without cutting off a request: it calls itself not ready, hands over the coordinator's turn,
-// answers what callers still send, and ends when the last answer is out or the grace is over.
-func (n *Node) Leave(c context.Context) {
+// Shutdown stops the daemon without cutting off requests. It reports that it isn't ready, hands over the coordinator role, serves the requests
+// that still arrive, and returns after the last response or at the end of the grace period. Stop must follow.
+func (n *Node) Shutdown(c context.Context) {
 	started := time.Now()
 	n.o.Log.Info().Int("open", n.front.Open()).Int("connections", n.front.Conns()).Msg("daemon is leaving")
 	n.leaving.Store(true)
 	n.front.Leave()
-	x, cancel := context.WithDeadline(c, started.Add(n.o.Settings.Limits.Grace-leaveMargin))
+	x, cancel := context.WithDeadline(c, started.Add(n.o.Settings.Limits.GracePeriod-exitMargin))
 	defer cancel()
-	var hand sync.WaitGroup
-	hand.Go(func() { n.granter.Leave(x) })
-	t := time.NewTimer(time.Until(started.Add(outOfRotation)))
+	var stepDown sync.WaitGroup
+	stepDown.Go(func() { n.granter.StepDown(x) })
+	t := time.NewTimer(time.Until(started.Add(outOfRotationDelay)))
 	defer t.Stop()
 	select {
 	case <-t.C:
 	case <-x.Done():
 	}
 	if err := n.front.Shutdown(x); err != nil {
-		n.o.Log.Warn().Err(err).Msg("requests given up")
+		n.o.Log.Warn().Err(err).Msg("grace period over, requests aborted")
 		n.sender.GiveUp()
-		y, cancel := context.WithTimeout(c, giveUpTime)
+		y, cancel := context.WithTimeout(c, abortTimeout)
 		defer cancel()
 		if err := n.front.Shutdown(y); err != nil {
-			n.o.Log.Warn().Err(err).Msg("callers left without an answer")
+			n.o.Log.Warn().Err(err).Msg("callers received no response")
 		}
 	}
-	hand.Wait()
-	n.withdraw(c)
+	stepDown.Wait()
+	n.deleteRow(c)
 	n.o.Log.Info().Dur("took", time.Since(started)).Msg("daemon has left")
 }
 
-// withdraw drops the daemon's row, so that its share of what is bounded for all falls to the others.
-func (n *Node) withdraw(c context.Context) {
-	x, cancel := context.WithTimeout(c, withdrawLimit)
+// deleteRow deletes the daemon's row, so that the other daemons get its share of the site's limits.
+func (n *Node) deleteRow(c context.Context) {
+	x, cancel := context.WithTimeout(c, deleteRowTimeout)
 	defer cancel()
 	row, ok := n.feed.Row(feed.DaemonRow(n.o.Settings.Name))
 	if !ok {
@@ -384,11 +388,11 @@
 	}
 }
 
-// Stop ends all duties at once.
+// Stop ends all components at once.
 func (n *Node) Stop() {
 	n.front.Close()
-	_ = n.pages.Shutdown() // fails only when closed before
-	n.group.Stop()         // before the peers, which its duties call
+	_ = n.statusServer.Shutdown() // fails only if already closed
+	n.group.Stop()                // before the peers, which its goroutines call
 	n.peers.Stop()
 }
 
@@ -399,18 +403,18 @@
 func (q quotaClient) Ask() *wire.QuotaAsk { return q.n.limiter.Ask() }
 
 // Answered implements feed.QuotaClient.
-func (q quotaClient) Answered(asked mono.Time, a *wire.QuotaAsk, r *wire.QuotaAnswer) {
-	q.n.limiter.Answered(asked, a, r)
+func (q quotaClient) Answered(requested mono.Time, a *wire.QuotaAsk, r *wire.QuotaAnswer) {
+	q.n.limiter.Answered(requested, a, r)
 }
 
-// handler answers peers.
-type handler struct {
+// peerHandler answers the calls of peers.
+type peerHandler struct {
 	feed    *feed.Feed
 	limiter *limit.Limiter
 }
 
 // Call implements peer.Handler.
-func (h handler) Call(c context.Context, from ident.Daemon, m *wire.Call) *wire.Reply {
+func (h peerHandler) Call(c context.Context, from ident.Daemon, m *wire.Call) *wire.Reply {
 	switch x := m.GetBody().(type) {
 	case *wire.Call_Sync:
 		r := h.sync(c, from, x.Sync)
@@ -419,14 +423,14 @@
 		a := h.limiter.Report(from, x.Quota)
 		return &wire.Reply{Body: &wire.Reply_Quota{Quota: h.limiter.Grant(from, a)}}
 	case *wire.Call_Withdraw:
-		given := h.feed.Withdraw(site.Term(x.Withdraw.GetTerm()))
-		return &wire.Reply{Body: &wire.Reply_Withdrawn{Withdrawn: &wire.Withdrawn{Given: given}}}
+		withdrawn := h.feed.Withdraw(site.Term(x.Withdraw.GetTerm()))
+		return &wire.Reply{Body: &wire.Reply_Withdrawn{Withdrawn: &wire.Withdrawn{Given: withdrawn}}}
 	}
 	return nil
 }
 
-// sync answers a Sync, including any quota ask that it carries.
-func (h handler) sync(c context.Context, from ident.Daemon, x *wire.Sync) *wire.SyncReply {
+// sync answers a Sync, with the QuotaAsk that it may carry.
+func (h peerHandler) sync(c context.Context, from ident.Daemon, x *wire.Sync) *wire.SyncReply {
 	if x.GetQuota() == nil {
 		return h.feed.Sync(c, from, x)
 	}
@@ -437,7 +441,7 @@
 }
 
 // Exchange implements peer.Handler.
-func (handler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Cut() }
+func (peerHandler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Cut() }
 
-// Leads reports whether the daemon is the coordinator of its site, as far as it knows.
-func (n *Node) Leads() bool { return n.feed.Leads() }
+// IsCoordinator reports whether the daemon is the coordinator of its site, as far as it knows.
+func (n *Node) IsCoordinator() bool { return n.feed.Leads() }
--- a/io/node/node_test.go
+++ b/io/node/node_test.go
@@ -14,20 +14,20 @@
 	"heatherrouter/io/store"
 )
 
-// silentStore answers nothing.
-type silentStore struct{}
+// unresponsiveStore answers no call before its context ends.
+type unresponsiveStore struct{}
 
-func (silentStore) List(c context.Context, _ store.Table) (store.Page, error) {
+func (unresponsiveStore) List(c context.Context, _ store.Table) (store.Page, error) {
 	<-c.Done()
 	return store.Page{}, c.Err()
 }
 
-func (silentStore) Follow(c context.Context, _ store.Table, _ store.Rev, _ time.Duration) (store.Page, error) {
+func (unresponsiveStore) Follow(c context.Context, _ store.Table, _ store.Rev, _ time.Duration) (store.Page, error) {
 	<-c.Done()
 	return store.Page{}, c.Err()
 }
 
-func (silentStore) Commit(c context.Context, _ store.Txn) (store.Rev, error) {
+func (unresponsiveStore) Commit(c context.Context, _ store.Txn) (store.Rev, error) {
 	<-c.Done()
 	return 0, c.Err()
 }
@@ -40,17 +40,17 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// Callers are refused by a daemon for good, though the site is sound. One of the daemon's ports is taken at its start, as
-// by somebody's outgoing connection; it gave up starting with its other ports open, and neither served nor ended. It must
-// end, so that it is started again, and take no callers meanwhile.
-func TestPortTakenAtStart(t *testing.T) {
+// Guards against a daemon that refuses callers for good although the site is healthy. One of its ports was in use at its start,
+// for example by another process's outgoing connection, and New failed with the other ports left open: the daemon neither served
+// nor ended. It must end, so that it is restarted, and accept no callers until then.
+func TestPortInUseAtStart(t *testing.T) {
 	for _, name := range []string{"ready", "admin"} {
 		t.Run(name, func(t *testing.T) {
-			taken, err := net.Listen("tcp", "127.0.0.1:0")
+			inUse, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			defer taken.Close()
+			defer inUse.Close()
 			s := &Settings{Name: "d", Domain: "z", Entry: freePort(t), Ready: freePort(t), Peer: freePort(t), Admin: freePort(t)}
-			at := netip.MustParseAddrPort(taken.Addr().String())
+			at := netip.MustParseAddrPort(inUse.Addr().String())
 			if name == "ready" {
 				s.Ready = at
 			} else {
@@ -59,18 +59,18 @@
 			failed := make(chan error, 1)
 			go func() {
 				_, err := New(t.Context(), Options{
-					Settings: s, Platform: Platform{Store: silentStore{}}, Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}},
+					Settings: s, Platform: Platform{Store: unresponsiveStore{}}, Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}},
 				})
 				failed <- err
 			}()
 			select {
 			case err := <-failed:
-				require.ErrorContains(t, err, "address for pages")
+				require.ErrorContains(t, err, "listen for status requests on")
 			case <-time.After(3 * time.Second):
-				require.Fail(t, "the start neither succeeds nor fails")
+				require.Fail(t, "New neither succeeds nor fails")
 			}
 			_, err = net.DialTimeout("tcp", s.Entry.String(), time.Second)
-			require.Error(t, err, "the address for callers is still open")
+			require.Error(t, err, "the port for callers is still open")
 		})
 	}
 }
--- a/io/node/settings.go
+++ b/io/node/settings.go
@@ -7,34 +7,34 @@
 	"heatherrouter/core/ident"
 )
 
-// Settings are what a daemon needs to know before it starts.
+// Settings configure a daemon at its start.
 type Settings struct {
 	Name     ident.Daemon
 	Domain   ident.Domain
 	Region   ident.Region
-	Entry    netip.AddrPort // for callers
-	Ready    netip.AddrPort // for the balancer's question whether the daemon takes callers
-	Peer     netip.AddrPort // for other daemons
-	Admin    netip.AddrPort // for operators: state and metrics
-	Store    netip.AddrPort
-	Capacity int   // of the processor, in thousandths of a core; 0 when unknown
-	Memory   int64 // bytes that the process may use; 0 for no limit
+	Entry    netip.AddrPort // address for callers
+	Ready    netip.AddrPort // address for the balancer's readiness check
+	Peer     netip.AddrPort // address for other daemons
+	Admin    netip.AddrPort // address for operators: state and metrics
+	Store    netip.AddrPort // address of the platform's store
+	Capacity int            // processor capacity in thousandths of a core; 0 if unknown
+	Memory   int64          // memory limit of the process in bytes; 0 for no limit
 	Limits   Limits
 }
 
-// Limits are the figures that the users of the site hold the router to.
+// Limits are the bounds on the router's behaviour that the users of a site require.
 type Limits struct {
-	Grace       time.Duration // from the signal to stop until the process is killed
-	RetryRatio  float64       // of the requests for a service, that may be sent more than once
-	RetrySlack  float64       // sends beyond that
-	RetryWindow time.Duration // in which both are counted
-	ColdFactor  float64       // of the rate that a cold server states, that it may be sent
-	ColdSlack   float64       // requests beyond that in one second
-	MaxHold     time.Duration // of a grant of keys
+	GracePeriod time.Duration // time from the signal to stop until the process is killed
+	RetryRatio  float64       // retries allowed as a share of the requests for a service
+	RetrySlack  float64       // additional retries allowed per window
+	RetryWindow time.Duration // window in which requests and retries are counted
+	ColdFactor  float64       // factor on the rate that a cold server states
+	ColdSlack   float64       // additional requests to a cold server allowed per second
+	MaxGrantTTL time.Duration // longest time for which a grant of keys is valid
 
-	MaxCopyAge time.Duration // of the configuration copy that keys are checked against; 0 for no limit
+	MaxCopyAge time.Duration // greatest age of the configuration copy that API keys are checked against; 0 for no limit
 
-	QuotaWindow    time.Duration // over which an organisation's requests are counted
+	QuotaWindow    time.Duration // window in which an organisation's requests are counted
 	QuotaOvershoot float64       // share by which an organisation's limit may be exceeded
 	QuotaSlack     float64       // additional requests allowed per window
 }
--- a/io/node/state.go
+++ b/io/node/state.go
@@ -14,33 +14,33 @@
 	"heatherrouter/io/limit"
 )
 
-// state is the dump of what the daemon knows and does.
-type state struct {
-	Daemon       ident.Daemon                  `json:"daemon"`
-	Domain       ident.Domain                  `json:"domain"`
-	Ready        bool                          `json:"ready"`
-	Version      site.Version                  `json:"configuration"`
-	Coordinator  site.Coordinator              `json:"coordinator"`
-	Voters       []ident.Daemon                `json:"voters"`
-	CopyAgeMS    int64                         `json:"copy-age-ms"`
-	HeardAgeMS   int64                         `json:"coordinator-heard-ms"`
-	Evacuated    []ident.Domain                `json:"evacuated"`
-	Daemons      []ident.Daemon                `json:"daemons"`
-	Servers      map[ident.Server]site.Server  `json:"servers"`
-	Holds        map[ident.Service][]hold.Hold `json:"holds"`
-	Limits       []limit.State                 `json:"organisations"`
-	Crashes      []guard.State                 `json:"crashes"` // requests under which servers crashed
-	OpenRequests int                           `json:"open-requests"`
-	Waiting      int                           `json:"waiting-requests"`
-	Connections  int                           `json:"caller-connections"`
+// stateDump is the JSON document that operators read at /state.
+type stateDump struct {
+	Daemon                  ident.Daemon                  `json:"daemon"`
+	Domain                  ident.Domain                  `json:"domain"`
+	Ready                   bool                          `json:"ready"`
+	Version                 site.Version                  `json:"configuration"`
+	Coordinator             site.Coordinator              `json:"coordinator"`
+	Voters                  []ident.Daemon                `json:"voters"`
+	CopyAgeMS               int64                         `json:"copy-age-ms"`
+	CoordinatorContactAgeMS int64                         `json:"coordinator-heard-ms"`
+	Evacuated               []ident.Domain                `json:"evacuated"`
+	Daemons                 []ident.Daemon                `json:"daemons"`
+	Servers                 map[ident.Server]site.Server  `json:"servers"`
+	Holds                   map[ident.Service][]hold.Hold `json:"holds"`
+	Limits                  []limit.State                 `json:"organisations"`
+	Crashes                 []guard.State                 `json:"crashes"` // requests that were in progress when servers crashed
+	OpenRequests            int                           `json:"open-requests"`
+	Waiting                 int                           `json:"waiting-requests"`
+	Connections             int                           `json:"caller-connections"`
 }
 
-func (n *Node) state(x *fasthttp.RequestCtx) {
+func (n *Node) handleState(x *fasthttp.RequestCtx) {
 	s := n.feed.Snapshot()
-	copied, heard := n.feed.Ages()
-	d := state{
+	copyAge, contactAge := n.feed.Ages()
+	d := stateDump{
 		Daemon: n.o.Settings.Name, Domain: n.o.Settings.Domain, Ready: n.Ready(), Coordinator: s.Coordinator, Voters: s.Voters,
-		CopyAgeMS: copied.Milliseconds(), HeardAgeMS: heard.Milliseconds(), Evacuated: slices.Sorted(maps.Keys(s.Evacuated)),
+		CopyAgeMS: copyAge.Milliseconds(), CoordinatorContactAgeMS: contactAge.Milliseconds(), Evacuated: slices.Sorted(maps.Keys(s.Evacuated)),
 		Daemons: slices.Sorted(maps.Keys(s.Daemons)), Servers: map[ident.Server]site.Server{},
 		Limits: n.limiter.States(), Crashes: n.guard.States(), OpenRequests: n.front.Open(), Waiting: n.sender.Waiting(), Connections: n.front.Conns(),
 	}
