--- a/core/choice/choice.go
+++ b/core/choice/choice.go
@@ -1,4 +1,4 @@
-// Package choice decides to which of a service's backend servers a request is sent.
+// Package choice selects the backend server of a service that a request is sent to.
 package choice
 
 import (
@@ -7,182 +7,184 @@
 	"heatherrouter/core/mono"
 )
 
-// Load is what one daemon knows of one backend server. All senders decide for themselves, so the server's own report
-// counts for what others send, and the daemon's own count for what it has sent since.
+// Load is one daemon's view of the load of one backend server. Daemons choose servers independently. Each uses the
+// server's report for the requests of other daemons and its own count for the requests that it has sent since.
 type Load struct {
-	Slots  int
-	Mine   int       // requests of this daemon without an answer
-	Others int       // requests of other daemons at the server, as it last reported
-	Pace   float64   // how long work takes at this moment, as it last reported; 1 is as usual
-	Own    float64   // the same when its neighbours don't disturb it: the least it reported; 0 while unknown
-	At     mono.Time // of the report
-
-	// AvoidUntil is when a server that failed is tried again, unless all others fail too.
+	Slots         int
+	OwnInFlight   int       // requests of this daemon that are not answered yet
+	OtherInFlight int       // requests of other daemons at the server, by its last report
+	Slowdown      float64   // current service time divided by the usual one, by the last report
+	BaseSlowdown  float64   // lowest Slowdown reported, which is the one without interference; 0 is unknown
+	ReportedAt    mono.Time // time of the last report; 0 before the first
+
+	// AvoidUntil is the time until which a server that failed is used only if all others fail too.
 	AvoidUntil mono.Time
-	failures   int // in a row
+	failures   int // consecutive failures
 }
 
-// maxAvoid bounds how long a server is left alone after failures in a row.
+// maxAvoid bounds the time for which a server is avoided after consecutive failures.
 const maxAvoid = 3 * time.Second
 
-// Failed leaves the server alone for a while, twice as long after each failure in a row. A server that refuses all work
-// looks idle: without that it would draw most requests, and use up the budget of those sent again.
-func (l *Load) Failed(now mono.Time, d time.Duration) {
+// RecordFailure avoids the server for d, doubled with each consecutive failure. A server that refuses all requests
+// looks idle. It would otherwise attract most requests and use up the retry budget.
+func (l *Load) RecordFailure(now mono.Time, d time.Duration) {
 	d <<= min(l.failures, 10)
 	l.failures++
 	l.AvoidUntil = max(l.AvoidUntil, now.Add(min(d, maxAvoid)))
 }
 
-// Answered takes in that the server does its work.
-func (l *Load) Answered() {
+// RecordSuccess ends the avoidance after a request that the server has answered.
+func (l *Load) RecordSuccess() {
 	l.failures, l.AvoidUntil = 0, 0
 }
 
 const (
-	// paceLife is how long a report of the pace is believed: what disturbs a server, its neighbours on one host, changes
-	// within it.
-	paceLife = 400 * time.Millisecond
+	// slowdownLifetime is the age at which a reported slowdown loses all weight. Interference by other processes on
+	// the server's host changes within this time.
+	slowdownLifetime = 400 * time.Millisecond
 
-	// queueLife is the same for the requests of others. A queue that stands is one that is fed.
-	queueLife = time.Second
+	// inFlightLifetime is the age at which a reported count of requests loses all weight. A queue that persists is one
+	// to which requests are still being added.
+	inFlightLifetime = time.Second
 
-	// Disturbed is the mean factor by which neighbours on its host slow a server down.
-	Disturbed = 1.4
+	// MeanInterference is the mean factor by which other processes on its host slow a server down.
+	MeanInterference = 1.4
 
-	// firstUnit is assumed until a first answer.
-	firstUnit = 200 * time.Millisecond
+	// defaultServiceTime is used until the first answer.
+	defaultServiceTime = 200 * time.Millisecond
 
-	// samePace is by how much two reports of an undisturbed server may differ.
-	samePace = 1.05
+	// baselineTolerance is the ratio within which a reported slowdown still equals the baseline.
+	baselineTolerance = 1.05
 )
 
-// Report takes in a server's report of its load.
-func (l *Load) Report(now mono.Time, running, waiting int, pace float64) {
-	l.Others, l.Pace, l.At = max(0, running+waiting-l.Mine), pace, now
-	if l.Own == 0 || pace < l.Own {
-		l.Own = pace
+// ApplyReport records the load that a server has reported.
+func (l *Load) ApplyReport(now mono.Time, running, waiting int, slowdown float64) {
+	l.OtherInFlight, l.Slowdown, l.ReportedAt = max(0, running+waiting-l.OwnInFlight), slowdown, now
+	if l.BaseSlowdown == 0 || slowdown < l.BaseSlowdown {
+		l.BaseSlowdown = slowdown
 	}
 }
 
-// Undisturbed reports whether the last report is of a server that its neighbours leave alone.
-func (l *Load) Undisturbed() bool {
-	return l.Own > 0 && l.Pace <= l.Own*samePace
+// AtBaseline reports whether the server had no interference at its last report.
+func (l *Load) AtBaseline() bool {
+	return l.BaseSlowdown > 0 && l.Slowdown <= l.BaseSlowdown*baselineTolerance
 }
 
-// Expect returns how long a request is likely to take at the server if it is sent now. The unit is how long requests of
-// the kind take at a usual server.
-func (l *Load) Expect(now mono.Time, unit time.Duration) time.Duration {
-	own := l.Own
-	if own == 0 {
-		own = 1
+// ExpectedLatency returns the expected time of a request that is sent to the server now. The serviceTime is that of
+// such requests at a server with slowdown 1.
+func (l *Load) ExpectedLatency(now mono.Time, serviceTime time.Duration) time.Duration {
+	base := l.BaseSlowdown
+	if base == 0 {
+		base = 1
 	}
-	pace := own * Disturbed
-	if l.At > 0 {
-		pace += (l.Pace - pace) * fresh(now.Sub(l.At), paceLife)
+	slowdown := base * MeanInterference
+	if l.ReportedAt > 0 {
+		slowdown += (l.Slowdown - slowdown) * reportWeight(now.Sub(l.ReportedAt), slowdownLifetime)
 	}
-	if unit == 0 {
-		unit = firstUnit
+	if serviceTime == 0 {
+		serviceTime = defaultServiceTime
 	}
-	busy := l.busy(now) + 1
+	busy := l.inFlight(now) + 1
 	slots := float64(max(1, l.Slots))
 	wait := 0.0
 	if busy > slots {
 		wait = (busy - slots) / slots
 	}
-	// Below full, sharing a server still costs a little, which spreads requests over idle servers.
-	return time.Duration(float64(unit) * pace * (1 + wait + sharing*min(busy, slots)/slots))
+	// With free slots, sharing a server still costs a little, which spreads requests over idle servers.
+	return time.Duration(float64(serviceTime) * slowdown * (1 + wait + sharingWeight*min(busy, slots)/slots))
 }
 
-// fresh returns how much a report counts at an age.
-func fresh(age, life time.Duration) float64 {
-	return max(0, 1-float64(age)/float64(life))
+// reportWeight returns the weight of a report of the given age, between 0 and 1.
+func reportWeight(age, lifetime time.Duration) float64 {
+	return max(0, 1-float64(age)/float64(lifetime))
 }
 
-// Full reports whether a request sent now would find all slots taken and a request waiting for each: the server is as busy
-// as it can be, and one more only makes all wait longer.
+// Full reports whether a request sent now would find all slots taken and one request waiting for each. Another request
+// would then only lengthen the wait of all.
 func (l *Load) Full(now mono.Time) bool {
-	return l.busy(now) >= 2*float64(max(1, l.Slots))
+	return l.inFlight(now) >= 2*float64(max(1, l.Slots))
 }
 
-// busy returns how many requests are at the server, those of others as far as the last report still counts.
-func (l *Load) busy(now mono.Time) float64 {
-	if l.At == 0 {
-		return float64(l.Mine)
+// inFlight returns the estimated number of requests at the server. Those of other daemons are weighted by the age of
+// the last report.
+func (l *Load) inFlight(now mono.Time) float64 {
+	if l.ReportedAt == 0 {
+		return float64(l.OwnInFlight)
 	}
-	return float64(l.Mine) + float64(l.Others)*fresh(now.Sub(l.At), queueLife)
+	return float64(l.OwnInFlight) + float64(l.OtherInFlight)*reportWeight(now.Sub(l.ReportedAt), inFlightLifetime)
 }
 
-// sharing is the weight of filled slots against free ones in the expectation.
-const sharing = 0.25
+// sharingWeight is the cost of a server whose slots are all taken, as a fraction of the service time.
+const sharingWeight = 0.25
 
-// Quantile follows a quantile of a value in constant memory. Some requests wait in line unseen and a few are much longer
-// than others, so that a mean follows those; the lower half tells the usual one.
+// Quantile estimates a quantile of a stream of values in constant memory. Some requests wait in a queue that the
+// daemon does not see, and a few take much longer than others. These distort a mean; the lower half of the values
+// shows the usual time.
 type Quantile struct {
-	P float64 // which one, between 0 and 1
-	Q float64 // the estimate; 0 before the first value
-	n float64
+	P        float64 // the quantile to estimate, between 0 and 1
+	Estimate float64 // 0 before the first value
+	n        float64
 }
 
 const (
-	// UnitQuantile is the quantile of the times of requests, divided by the pace of their servers, that stands for a
-	// service's work.
-	UnitQuantile = 0.5
+	// ServiceTimeQuantile is the quantile of request times, each divided by its server's slowdown, that is used as the
+	// service time of a service.
+	ServiceTimeQuantile = 0.5
 
-	// SampleUnit is the unit in which daemons tell each other such times.
+	// SampleUnit is the unit in which daemons exchange samples of service times.
 	SampleUnit = 100 * time.Microsecond
 
-	// lastStep is by how much of itself a value moves the estimate in the long run, and firstStep the first ones: the
-	// first value may be far off.
-	lastStep  = 0.03
+	// minStep is the relative change of the estimate by one value in the long run. The step starts at firstStep, since
+	// the first value may be far off.
+	minStep   = 0.03
 	firstStep = 0.3
 )
 
-// Add moves the estimate by one value.
+// Add updates the estimate with one value.
 func (q *Quantile) Add(x float64) {
 	q.n++
-	step := max(lastStep, firstStep/q.n)
+	step := max(minStep, firstStep/q.n)
 	switch {
-	case q.Q == 0:
-		q.Q = x
-	case x > q.Q:
-		q.Q *= 1 + step*q.P
+	case q.Estimate == 0:
+		q.Estimate = x
+	case x > q.Estimate:
+		q.Estimate *= 1 + step*q.P
 	default:
-		q.Q *= 1 - step*(1-q.P)
+		q.Estimate *= 1 - step*(1-q.P)
 	}
 }
 
-// Candidate is a server that may take the request.
+// Candidate is a server that the request may be sent to.
 type Candidate struct {
-	Load  *Load
-	Tried bool // by this request
-	Near  bool // in the daemon's own failure domain
-	Usual bool // one of the few that this daemon sends to as a rule
-	Cold  bool
+	Load     *Load
+	Tried    bool // the request has already been sent to it
+	Local    bool // it is in the daemon's own failure domain
+	InSubset bool // it is in this daemon's subset of the servers
+	Cold     bool // the server is still warming up
 }
 
-// Pick returns the index of the server with the shortest expected time, of all or, when there are many, of the usual ones
-// and a few drawn ones; false when there is none that wasn't tried. A drawn one, of which little is known, is chosen when
-// the usual ones are busy, slow or failing. Of a service that is big enough each sender has its own few, so that not all
-// of them pile on the one that looks idle.
-func Pick(now mono.Time, l []Candidate, unit, nearGain time.Duration, draw func(n int) int) (int, bool) {
+// Pick returns the index of the candidate with the shortest expected time, or false if all have been tried. Of a large
+// service it compares the daemon's subset and a few random servers, so that daemons do not all send to the server that
+// looks idle. A random server, of which little is known, wins when the subset is busy, slow or failing.
+func Pick(now mono.Time, l []Candidate, serviceTime, localityBonus time.Duration, draw func(n int) int) (int, bool) {
 	best, shortest := -1, time.Duration(0)
 	consider := func(i int) {
 		c := &l[i]
 		if c.Tried {
 			return
 		}
-		d := c.Load.Expect(now, unit)
-		if !c.Near {
-			d += nearGain
+		d := c.Load.ExpectedLatency(now, serviceTime)
+		if !c.Local {
+			d += localityBonus
 		}
 		if now.Before(c.Load.AvoidUntil) {
-			d += avoided
+			d += avoidPenalty
 		}
 		if best < 0 || d < shortest {
 			best, shortest = i, d
 		}
 	}
-	if len(l) <= few {
+	if len(l) <= maxCompareAll {
 		first := 0
 		if len(l) > 0 {
 			first = draw(len(l))
@@ -192,19 +194,19 @@
 		}
 		return best, best >= 0
 	}
-	near := make([]int, 0, len(l))
+	local := make([]int, 0, len(l))
 	for i := range l {
-		if l[i].Near {
-			near = append(near, i)
+		if l[i].Local {
+			local = append(local, i)
 		}
-		if l[i].Usual {
+		if l[i].InSubset {
 			consider(i)
 		}
 	}
-	for range min(drawn, len(near)) {
-		consider(near[draw(len(near))])
+	for range min(randomCandidates, len(local)) {
+		consider(local[draw(len(local))])
 	}
-	for range drawn {
+	for range randomCandidates {
 		consider(draw(len(l)))
 	}
 	for i := 0; best < 0 && i < len(l); i++ {
@@ -214,13 +216,13 @@
 }
 
 const (
-	// drawn is how many servers are drawn, of all and once more of those nearby, beside the usual ones. Little is known of
-	// them, and more would win by what isn't known.
-	drawn = 1
+	// randomCandidates is the number of servers drawn from all, and again from the local ones, in addition to the
+	// subset. Little is known of them, and with more of them the choice would rest on missing information.
+	randomCandidates = 1
 
-	// few is how many servers there are at most for all of them to be compared.
-	few = 4
+	// maxCompareAll is the number of candidates up to which all are compared.
+	maxCompareAll = 4
 
-	// avoided is added to the expectation of a server that just failed, so that it comes last.
-	avoided = time.Minute
+	// avoidPenalty is added to the expected time of a server that is being avoided, so that it is chosen last.
+	avoidPenalty = time.Minute
 )
--- a/core/choice/least.go
+++ b/core/choice/least.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// leastCell and leastCells are the span of which the least is followed, in parts that are forgotten one by one.
-	// Neighbours on its host slow a server down for 0.4 s at a time and leave it alone four times in five, so that one that
-	// hasn't been quick for 1.4 s is slow itself.
-	leastCell  = 200 * time.Millisecond
-	leastCells = 7
+	// minCellLength and minCells give the sliding window: the length of a cell and the number of cells. Other processes
+	// on its host slow a server down for 0.4 s at a time and for a fifth of the time. A server that has not been fast for
+	// 1.4 s is therefore slow itself.
+	minCellLength = 200 * time.Millisecond
+	minCells      = 7
 )
 
-// Least follows the least of a server's reports of its pace, of late: what it is when its neighbours leave it alone. A
-// server that turns slow is known by it while it is slow, and no longer.
-type Least struct {
-	cells [leastCells + 1]float64 // 0 for no report
-	cell  int64                   // of the newest report
-	ever  float64
+// WindowedMin is the minimum of a server's reported slowdowns over a sliding window, which is its baseline slowdown.
+// It rises while a server itself is slow and falls back as soon as the server is fast again.
+type WindowedMin struct {
+	cells [minCells + 1]float64 // minimum of each cell; 0 is no report
+	cell  int64                 // number of the newest cell
+	ever  float64               // minimum of all reports
 }
 
-// Add takes in a report.
-func (l *Least) Add(now mono.Time, x float64) {
-	l.turn(now)
-	if c := &l.cells[l.cell%(leastCells+1)]; *c == 0 || x < *c {
+// Add records a report.
+func (l *WindowedMin) Add(now mono.Time, x float64) {
+	l.advance(now)
+	if c := &l.cells[l.cell%(minCells+1)]; *c == 0 || x < *c {
 		*c = x
 	}
 	if l.ever == 0 || x < l.ever {
@@ -33,11 +33,11 @@
 	}
 }
 
-// At returns the least of late. Without a report of late it is the least ever: a server that is left alone for being slow
-// has to be tried again. It is 0 before any report.
-func (l *Least) At(now mono.Time) float64 {
+// Min returns the minimum over the window, or over all reports if the window has none. A server that is avoided for
+// being slow has to be tried again. Min is 0 before the first report.
+func (l *WindowedMin) Min(now mono.Time) float64 {
 	x := *l
-	x.turn(now)
+	x.advance(now)
 	least := 0.0
 	for _, c := range x.cells {
 		if c > 0 && (least == 0 || c < least) {
@@ -50,12 +50,12 @@
 	return least
 }
 
-// turn forgets the parts that are too old.
-func (l *Least) turn(now mono.Time) {
-	cell := int64(now) / int64(leastCell)
-	for n := 0; l.cell < cell && n <= leastCells; n++ {
+// advance clears the cells that have left the window.
+func (l *WindowedMin) advance(now mono.Time) {
+	cell := int64(now) / int64(minCellLength)
+	for n := 0; l.cell < cell && n <= minCells; n++ {
 		l.cell++
-		l.cells[l.cell%(leastCells+1)] = 0
+		l.cells[l.cell%(minCells+1)] = 0
 	}
 	l.cell = max(l.cell, cell)
 }
--- a/core/choice/near.go
+++ b/core/choice/near.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// crossing is the time that is always granted to a server nearby, for the way to another failure domain and back.
-	crossing = 10 * time.Millisecond
+	// crossDomainTime is the minimum bonus of a local server: a round trip to another failure domain.
+	crossDomainTime = 10 * time.Millisecond
 
-	// crossingWorth is how many bytes between failure domains cost operators about as much as one request is worth to
-	// them. So many may take a whole target longer at a server nearby.
-	crossingWorth = 30_000
+	// bytesPerRequestValue is the number of bytes between failure domains that cost operators about as much as one
+	// request is worth to them. A request of this size may take a whole target longer at a local server.
+	bytesPerRequestValue = 30_000
 )
 
-// NearGain returns how much longer a request may take at a server of the daemon's own failure domain than at another one,
-// by its size with its answer in bytes and by the time within which its caller wants it. A large download stays in its
-// domain as long as a server there has any room; a small read goes where it is served soonest.
-func NearGain(size float64, target time.Duration) time.Duration {
-	return crossing + time.Duration(size/crossingWorth*float64(target))
+// LocalityBonus returns how much longer a request may take at a server in the daemon's own failure domain than at
+// another one. The size is that of the request with its answer in bytes, the target the time in which the caller wants
+// the answer. A large download stays in its domain while a server there has room; a small read goes to the server that
+// answers first.
+func LocalityBonus(size float64, target time.Duration) time.Duration {
+	return crossDomainTime + time.Duration(size/bytesPerRequestValue*float64(target))
 }
--- a/core/choice/split.go
+++ b/core/choice/split.go
@@ -7,28 +7,28 @@
 	"heatherrouter/core/ident"
 )
 
-// Part is the share of a route's requests that goes to one service.
+// Part is one of the services that share the requests of a route.
 type Part struct {
 	Service ident.Service
 	Weight  float64
-	Near    bool // its server for the request at hand is in the daemon's own failure domain
+	Local   bool // its server for the current request is in the daemon's own failure domain
 }
 
-// Split decides which part of a route each request goes to. Over the requests each part gets its weight; which of them it
-// gets is free, so that a request goes to the part that has its server nearby while that is owed any.
-type Split struct {
-	owed map[ident.Service]float64 // requests, by the weights so far, that the part has not had
+// Splitter divides the requests of a route among its parts by weight. The weights hold over many requests. Which
+// request a part gets is free: a request goes to a part with a local server while that part has a deficit.
+type Splitter struct {
+	deficit map[ident.Service]float64 // requests due to the part by its weight, less those it got
 }
 
-// SplitSlack is how many requests all daemons together may have sent too many or too few to a part. Operators take a tenth
-// off the weights over three hundred requests for a fault.
+// SplitSlack is the number of requests by which all daemons together may exceed or miss a part's weight. Operators
+// treat a deviation of a tenth over three hundred requests as a fault.
 const SplitSlack = 18
 
-// leastSlack is what a daemon needs to give whole requests to parts by their weights.
-const leastSlack = 0.5
+// minSlack is the slack that a daemon needs to assign whole requests to parts by their weights.
+const minSlack = 0.5
 
-// Pick returns the service that a request goes to. The parts hold at least one.
-func (s *Split) Pick(l []Part, daemons int) ident.Service {
+// Pick returns the service that a request goes to. The list must not be empty.
+func (s *Splitter) Pick(l []Part, daemons int) ident.Service {
 	sum := 0.0
 	for _, p := range l {
 		sum += max(0, p.Weight)
@@ -36,38 +36,38 @@
 	if len(l) == 1 || sum <= 0 {
 		return l[0].Service
 	}
-	s.owe(l, sum)
-	slack := max(leastSlack, SplitSlack/float64(max(1, daemons)))
-	most, near := -1, -1
+	s.addRequest(l, sum)
+	slack := max(minSlack, SplitSlack/float64(max(1, daemons)))
+	most, local := -1, -1
 	for i, p := range l {
 		if p.Weight <= 0 {
 			continue
 		}
-		owed := s.owed[p.Service]
-		if most < 0 || owed > s.owed[l[most].Service] {
+		owed := s.deficit[p.Service]
+		if most < 0 || owed > s.deficit[l[most].Service] {
 			most = i
 		}
-		if p.Near && owed > 1-slack && (near < 0 || owed > s.owed[l[near].Service]) {
-			near = i
+		if p.Local && owed > 1-slack && (local < 0 || owed > s.deficit[l[local].Service]) {
+			local = i
 		}
 	}
 	picked := l[most].Service
-	if near >= 0 && s.owed[picked] <= slack {
-		picked = l[near].Service
+	if local >= 0 && s.deficit[picked] <= slack {
+		picked = l[local].Service
 	}
-	s.owed[picked]--
+	s.deficit[picked]--
 	return picked
 }
 
-// owe adds one request to what is owed, and forgets parts that the route doesn't have any more.
-func (s *Split) owe(l []Part, sum float64) {
-	if s.owed == nil {
-		s.owed = map[ident.Service]float64{}
+// addRequest adds one request to the deficits by weight, and drops parts that the route no longer has.
+func (s *Splitter) addRequest(l []Part, sum float64) {
+	if s.deficit == nil {
+		s.deficit = map[ident.Service]float64{}
 	}
-	maps.DeleteFunc(s.owed, func(n ident.Service, _ float64) bool {
+	maps.DeleteFunc(s.deficit, func(n ident.Service, _ float64) bool {
 		return !slices.ContainsFunc(l, func(p Part) bool { return p.Service == n })
 	})
 	for _, p := range l {
-		s.owed[p.Service] += max(0, p.Weight) / sum
+		s.deficit[p.Service] += max(0, p.Weight) / sum
 	}
 }
--- a/core/choice/subset.go
+++ b/core/choice/subset.go
@@ -1,16 +1,16 @@
 package choice
 
-// UsualServers is how many servers of a large service a daemon sends to as a rule, in its own failure domain and in all
-// together. A daemon of 86 sends 7 of a service's 590 requests a second: drawn from all 96 servers, it meets one again
-// after 14 s, when what it knew of its load and pace is long out of date, and on a new connection. With eight it meets
-// each about once a second.
-const UsualServers = 4
+// SubsetSize is the number of servers of a large service that a daemon normally sends to, once in its own failure
+// domain and once in all. One of 86 daemons sends 7 of a service's 590 requests a second. Drawn from all 96 servers,
+// it returns to a server after 14 s, with outdated load and slowdown and on a new connection. With eight servers it
+// returns to each about once a second.
+const SubsetSize = 4
 
-// Subset returns which of so many servers, in an order that all daemons share, the daemon at a place among so many sends
-// to as a rule. Each server is in the subsets of as many daemons as any other, give or take one, so that the daemons
-// together load them evenly.
+// Subset returns the indices of the servers that the daemon at the given place normally sends to. All daemons must
+// order the servers alike. The numbers of daemons per server differ by at most one, so that the daemons together load
+// the servers evenly.
 func Subset(servers, daemons, place int) []int {
-	n := min(servers, UsualServers)
+	n := min(servers, SubsetSize)
 	l := make([]int, 0, n)
 	if n == 0 || daemons == 0 {
 		return l
--- a/core/elect/elect.go
+++ b/core/elect/elect.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// gather is how long a daemon of a site that starts for the first time waits for the rows of the others, which start
+	// startupGrace is how long a daemon of a site that starts for the first time waits for the rows of the others, which start
 	// within 0.3 s: the ablest is to be the coordinator.
-	gather = 600 * time.Millisecond
+	startupGrace = 600 * time.Millisecond
 
-	// NoQuorumAfter is how long the coordinator must have been silent for a daemon to take over without a quorum. It is longer than cuts between failure domains usually last: taken over from the smaller side, the
+	// NoQuorumTimeout is how long the coordinator must have been silent for a daemon to take over without a quorum. It is longer than cuts between failure domains usually last: taken over from the smaller side, the
 	// coordinator of the larger one would be pushed out. A coordinator that lost the support of most goes without orders as
 	// long: nobody else can have that support either before the others are back.
-	NoQuorumAfter = 8 * time.Second
+	NoQuorumTimeout = 8 * time.Second
 
-	// step is the time between one candidate and the next: one that has taken over is heard of within it.
-	step = 250 * time.Millisecond
+	// rankStep is the time between one candidate and the next: one that has taken over is heard of within it.
+	rankStep = 250 * time.Millisecond
 
-	// fresh is how old a candidate's copy of the store may be: one that doesn't reach the store can't take over.
-	fresh = time.Second
+	// maxCopyAge is how old a candidate's copy of the store may be: one that doesn't reach the store can't take over.
+	maxCopyAge = time.Second
 )
 
 // State is what a daemon knows of its site.
 type State struct {
-	Self     ident.Daemon
-	Life     ident.Incarnation
-	Leaving  bool
-	Snapshot *site.Snapshot
-	Copied   time.Duration // age of its copy of the store
-	Heard    time.Duration // since the coordinator was heard of
-	Known    time.Duration // since the copy was first whole
+	Self         ident.Daemon
+	Incarnation  ident.Incarnation
+	Leaving      bool
+	Snapshot     *site.Snapshot
+	CopyAge      time.Duration // age of its copy of the store
+	SinceContact time.Duration // since the coordinator was heard of
+	SinceLoaded  time.Duration // since the copy was first whole
 }
 
-// Leads reports whether this life of the daemon is the coordinator.
-func (s *State) Leads() bool {
+// IsCoordinator reports whether this life of the daemon is the coordinator.
+func (s *State) IsCoordinator() bool {
 	c := s.Snapshot.Coordinator
-	return c.Daemon == s.Self && c.Incarnation == s.Life
+	return c.Daemon == s.Self && c.Incarnation == s.Incarnation
 }
 
 // Decision is what to do about the coordinator's turn: Wait, Ask or Take.
@@ -58,60 +58,60 @@
 	// Wait says that it is not this daemon's turn.
 	Wait struct{}
 
-	// Ask says to ask the voters to withdraw their support of the coordinator, and to take over once a quorum has. Until
+	// RequestWithdrawals says to ask the voters to withdraw their support of the coordinator, and to take over once a quorum has. Until
 	// then others hear of it, and it would only be pushed out by a daemon that is cut off from it. Clean says that the
 	// coordinator has surely stopped then; one that goes on without support hasn't.
-	Ask struct{ Clean bool }
+	RequestWithdrawals struct{ Clean bool }
 
-	// Take says to take over now. With Clean the coordinator before has surely stopped. WithoutQuorum says that too many
+	// TakeOver says to take over now. With Clean the coordinator before has surely stopped. WithoutQuorum says that too many
 	// voters are lost to tell: then this one's orders rest on the store's transaction only.
-	Take struct {
+	TakeOver struct {
 		Clean, WithoutQuorum bool
 	}
 )
 
-func (Wait) decision() {}
-func (Ask) decision()  {}
-func (Take) decision() {}
+func (Wait) decision()               {}
+func (RequestWithdrawals) decision() {}
+func (TakeOver) decision()           {}
 
 // Decide returns what to do now.
 func (s *State) Decide() Decision {
-	if s.Leads() || s.Leaving || s.Copied > fresh {
+	if s.IsCoordinator() || s.Leaving || s.CopyAge > maxCopyAge {
 		return Wait{}
 	}
 	c := s.Snapshot.Coordinator
 	if c.Daemon == s.Self {
-		return Take{Clean: true} // that was an earlier life of this daemon
+		return TakeOver{Clean: true} // that was an earlier life of this daemon
 	}
-	wait := wait(s.rank())
+	wait := rankDelay(s.rank())
 	if c.Daemon == "" && c.Term == 0 {
-		return takeIf(s.Known >= gather+wait, Take{Clean: true})
+		return takeOverIf(s.SinceLoaded >= startupGrace+wait, TakeOver{Clean: true})
 	}
 	if c.Daemon == "" {
-		return takeIf(s.Known >= wait && s.Heard >= wait, Take{Clean: true}) // the last one has stopped by itself
+		return takeOverIf(s.SinceLoaded >= wait && s.SinceContact >= wait, TakeOver{Clean: true}) // the last one has stopped by itself
 	}
 	if d := s.Snapshot.Daemons[c.Daemon]; d != nil && d.Incarnation != c.Incarnation {
-		return takeIf(s.Known >= wait && s.Heard >= wait, Take{Clean: true}) // it has started again, and would take over itself
+		return takeOverIf(s.SinceLoaded >= wait && s.SinceContact >= wait, TakeOver{Clean: true}) // it has started again, and would take over itself
 	}
-	silent := min(s.Heard, s.Known)
+	silent := min(s.SinceContact, s.SinceLoaded)
 	switch {
-	case silent >= NoQuorumAfter+wait:
-		return Take{WithoutQuorum: true}
-	case s.votes(s.Self) && silent >= silence(s.Snapshot)+wait:
-		return Ask{Clean: !c.WithoutQuorum}
+	case silent >= NoQuorumTimeout+wait:
+		return TakeOver{WithoutQuorum: true}
+	case s.isVoter(s.Self) && silent >= contactTimeout(s.Snapshot)+wait:
+		return RequestWithdrawals{Clean: !c.WithoutQuorum}
 	}
 	return Wait{}
 }
 
-func takeIf(ok bool, t Take) Decision {
+func takeOverIf(ok bool, t TakeOver) Decision {
 	if ok {
 		return t
 	}
 	return Wait{}
 }
 
-// First returns the daemon that comes first as a candidate, or none in a site without daemons.
-func First(s *site.Snapshot) ident.Daemon {
+// TopCandidate returns the daemon that comes first as a candidate, or none in a site without daemons.
+func TopCandidate(s *site.Snapshot) ident.Daemon {
 	x := State{Snapshot: s}
 	var first ident.Daemon
 	for d := range s.Daemons {
@@ -135,14 +135,14 @@
 	return n
 }
 
-// votes reports whether the daemon is one of the voters; where none are known, all are.
-func (s *State) votes(d ident.Daemon) bool {
+// isVoter reports whether the daemon is one of the voters; where none are known, all are.
+func (s *State) isVoter(d ident.Daemon) bool {
 	return len(s.Snapshot.Voters) == 0 || slices.Contains(s.Snapshot.Voters, d)
 }
 
 // candidate is what ranks a daemon among those that may take over.
 type candidate struct {
-	votes    int
+	voter    int
 	capacity int
 	score    uint64
 }
@@ -151,8 +151,8 @@
 
 func (s *State) candidate(d ident.Daemon) candidate {
 	x := candidate{score: live.Score(scoreName, d)}
-	if s.votes(d) {
-		x.votes = 1
+	if s.isVoter(d) {
+		x.voter = 1
 	}
 	if y := s.Snapshot.Daemons[d]; y != nil {
 		x.capacity = y.Capacity
@@ -161,16 +161,16 @@
 }
 
 func (x candidate) compare(y candidate) int {
-	return cmp.Or(cmp.Compare(x.votes, y.votes), cmp.Compare(x.capacity, y.capacity), cmp.Compare(x.score, y.score))
+	return cmp.Or(cmp.Compare(x.voter, y.voter), cmp.Compare(x.capacity, y.capacity), cmp.Compare(x.score, y.score))
 }
 
-// wait returns how long a candidate leaves the turn to those before it. Beyond maxRank the steps are short: a failure
+// rankDelay returns how long a candidate leaves the turn to those before it. Beyond maxRank the steps are short: a failure
 // domain that is lost takes many candidates with it, and yet hundreds of daemons may not write at the same moment.
-func wait(rank int) time.Duration {
-	return step*time.Duration(min(rank, maxRank)) + farStep*time.Duration(max(0, rank-maxRank))
+func rankDelay(rank int) time.Duration {
+	return rankStep*time.Duration(min(rank, maxFullSteps)) + farRankStep*time.Duration(max(0, rank-maxFullSteps))
 }
 
 const (
-	maxRank = 12
-	farStep = 20 * time.Millisecond
+	maxFullSteps = 12
+	farRankStep  = 20 * time.Millisecond
 )
--- a/core/elect/support.go
+++ b/core/elect/support.go
@@ -22,16 +22,16 @@
 // the row names.
 
 const (
-	// minSync and maxSync bound how often a daemon asks the coordinator.
-	minSync = 400 * time.Millisecond
-	maxSync = 1000 * time.Millisecond
-	perSync = 10 * time.Millisecond // for each daemon of the site
+	// minSyncWait and maxSync bound how often a daemon asks the coordinator.
+	minSyncWait       = 400 * time.Millisecond
+	maxSyncWait       = 1000 * time.Millisecond
+	syncWaitPerDaemon = 10 * time.Millisecond // for each daemon of the site
 
-	// answerTime is how long an answer may take beyond its wait.
-	answerTime = 300 * time.Millisecond
+	// answerLatency is how long an answer may take beyond its wait.
+	answerLatency = 300 * time.Millisecond
 
 	// longestPromise is that of the largest site.
-	longestPromise = 3 * maxSync
+	longestPromise = 3 * maxSyncWait
 )
 
 // SyncWait returns how long the coordinator holds an answer to the daemon back without news. Voters ask more often than
@@ -44,18 +44,18 @@
 }
 
 func syncWait(daemons int) time.Duration {
-	return min(maxSync, max(minSync, time.Duration(daemons)*perSync))
+	return min(maxSyncWait, max(minSyncWait, time.Duration(daemons)*syncWaitPerDaemon))
 }
 
-// PromiseTime returns for how long the promise of a voter holds: two answers may be lost.
-func PromiseTime(s *site.Snapshot) time.Duration {
+// PromiseDuration returns for how long the promise of a voter holds: two answers may be lost.
+func PromiseDuration(s *site.Snapshot) time.Duration {
 	return 3 * syncWait(voterCount(s))
 }
 
-// silence is how long the coordinator may not be heard of by a voter: one answer may be lost. Another has the support of a
+// contactTimeout is how long the coordinator may not be heard of by a voter: one answer may be lost. Another has the support of a
 // quorum 1.5 s after a loss; grants last 3 s and were renewed 0.9 s ago at worst.
-func silence(s *site.Snapshot) time.Duration {
-	return syncWait(voterCount(s)) + 2*answerTime
+func contactTimeout(s *site.Snapshot) time.Duration {
+	return syncWait(voterCount(s)) + 2*answerLatency
 }
 
 // voterCount returns how many daemons have a vote: all where none are named.
@@ -68,7 +68,7 @@
 
 // Promise is what one daemon has promised. Times are of its own clock, which counts the suspensions of its host.
 type Promise struct {
-	Started time.Duration
+	StartedAt time.Duration
 
 	term      site.Term
 	until     time.Duration
@@ -86,7 +86,7 @@
 
 // Withdraw ends the support of coordinators up to the term, for good; it reports whether it could.
 func (p *Promise) Withdraw(now time.Duration, t site.Term) bool {
-	if now < p.Started+longestPromise {
+	if now < p.StartedAt+longestPromise {
 		return false // an earlier life may have promised
 	}
 	if p.term <= t && now < p.until {
@@ -104,12 +104,12 @@
 
 // firstSeen is when a life of a daemon was first known to the coordinator.
 type firstSeen struct {
-	life ident.Incarnation
-	at   time.Duration
+	incarnation ident.Incarnation
+	at          time.Duration
 }
 
-// Confirmed takes in that a daemon has received an answer that was sent at the time, and promised support from then on.
-func (s *Support) Confirmed(d ident.Daemon, sent, promised time.Duration) {
+// Confirm takes in that a daemon has received an answer that was sent at the time, and promised support from then on.
+func (s *Support) Confirm(d ident.Daemon, sent, promised time.Duration) {
 	if s.until == nil {
 		s.until = map[ident.Daemon]time.Duration{}
 	}
@@ -125,10 +125,10 @@
 // HasQuorum reports whether a majority of the voters supports the coordinator, which supports itself. While voters are
 // being replaced, proposed are those that the coordinator's row may name by now, else nil: then it takes a majority of both.
 func (s *Support) HasQuorum(now time.Duration, self ident.Daemon, voters, proposed []ident.Daemon) bool {
-	return s.majority(now, self, voters) && (proposed == nil || s.majority(now, self, proposed))
+	return s.hasMajority(now, self, voters) && (proposed == nil || s.hasMajority(now, self, proposed))
 }
 
-func (s *Support) majority(now time.Duration, self ident.Daemon, voters []ident.Daemon) bool {
+func (s *Support) hasMajority(now time.Duration, self ident.Daemon, voters []ident.Daemon) bool {
 	n := 0
 	for _, d := range voters {
 		if d == self || now < s.until[d] {
@@ -138,17 +138,17 @@
 	return IsQuorum(n, len(voters))
 }
 
-// Silent returns the daemons that have confirmed nothing for so long, the coordinator itself left out. The time counts from
+// WithoutContact returns the daemons that have confirmed nothing for so long, the coordinator itself left out. The time counts from
 // when the coordinator began or first knew of the daemon's life: one that has just started has had no chance yet.
-func (s *Support) Silent(now, began, d time.Duration, self ident.Daemon, daemons map[ident.Daemon]*site.Daemon) []ident.Daemon {
+func (s *Support) WithoutContact(now, began, d time.Duration, self ident.Daemon, daemons map[ident.Daemon]*site.Daemon) []ident.Daemon {
 	if s.seen == nil {
 		s.seen = map[ident.Daemon]firstSeen{}
 	}
 	var l []ident.Daemon
 	for n, x := range daemons {
 		first, known := s.seen[n]
-		if !known || first.life != x.Incarnation {
-			first = firstSeen{life: x.Incarnation, at: now}
+		if !known || first.incarnation != x.Incarnation {
+			first = firstSeen{incarnation: x.Incarnation, at: now}
 			if !known && s.until[n] > 0 {
 				first.at = began // it confirmed something before it was first looked at
 			}
--- a/core/elect/support_test.go
+++ b/core/elect/support_test.go
@@ -12,53 +12,53 @@
 	"heatherrouter/core/site"
 )
 
-const promiseTime = 1200 * time.Millisecond
+const promiseDuration = 1200 * time.Millisecond
 
-// daemonAt is one daemon with a clock of its own, which runs from another start and a little fast or slow.
-type daemonAt struct {
+// simDaemon is one daemon with a clock of its own, which runs from another start and a little fast or slow.
+type simDaemon struct {
 	promise Promise
 	offset  time.Duration
 	rate    float64
 	newer   bool // it has started after the successor was written down, and knows it
 }
 
-func (d *daemonAt) clock(now time.Duration) time.Duration {
+func (d *simDaemon) clock(now time.Duration) time.Duration {
 	return d.offset + time.Duration(float64(now)*d.rate)
 }
 
 // A key gets two owners when a coordinator goes on sending orders after its successor has counted on its having stopped.
 // Answers of the coordinator arrive late or never, daemons restart and forget, and a successor collects words all the
 // while; once it has enough of them, the coordinator may not find itself supported any more.
-func TestNoOrderAfterEnoughWords(t *testing.T) {
+func TestNoSupportAfterQuorumOfWithdrawals(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		n := 3 + r.IntN(10)
 		var voters []ident.Daemon
-		var l []*daemonAt
+		var l []*simDaemon
 		for i := range n {
 			voters = append(voters, ident.Daemon(fmt.Sprint(i)))
-			l = append(l, &daemonAt{offset: time.Duration(r.IntN(1000)) * time.Second, rate: 0.999 + 0.002*r.Float64()})
+			l = append(l, &simDaemon{offset: time.Duration(r.IntN(1000)) * time.Second, rate: 0.999 + 0.002*r.Float64()})
 		}
 		var support Support
-		words, taken := map[int]bool{}, false
-		heard := time.Duration(r.IntN(4000)) * time.Millisecond // until when the answers get through
+		withdrawals, taken := map[int]bool{}, false
+		reachable := time.Duration(r.IntN(4000)) * time.Millisecond // until when the answers get through
 		for now := 10 * time.Second; now < 20*time.Second; now += 20 * time.Millisecond {
 			i := 1 + r.IntN(n-1)
 			d := l[i]
 			sent := now - time.Duration(r.IntN(300))*time.Millisecond // the answer was under way for so long
-			if now < 10*time.Second+heard && !d.newer && d.promise.Renew(d.clock(now), 1, promiseTime) {
-				support.Confirmed(ident.Daemon(fmt.Sprint(i)), sent, promiseTime*99/100)
+			if now < 10*time.Second+reachable && !d.newer && d.promise.Renew(d.clock(now), 1, promiseDuration) {
+				support.Confirm(ident.Daemon(fmt.Sprint(i)), sent, promiseDuration*99/100)
 			}
 			if r.IntN(60) == 0 {
-				d.promise, d.newer = Promise{Started: d.clock(now)}, taken
+				d.promise, d.newer = Promise{StartedAt: d.clock(now)}, taken
 				if !taken {
-					delete(words, i) // its row has changed, and the successor's transaction expects that it hasn't
+					delete(withdrawals, i) // its row has changed, and the successor's transaction expects that it hasn't
 				}
 			}
 			if k := 1 + r.IntN(n-1); l[k].promise.Withdraw(l[k].clock(now), 1) {
-				words[k] = true
+				withdrawals[k] = true
 			}
-			if taken = taken || IsQuorum(len(words), n); taken {
+			if taken = taken || IsQuorum(len(withdrawals), n); taken {
 				require.False(t, support.HasQuorum(now, "0", voters, nil), "seed %d: supported %v after enough words", seed, now)
 			}
 		}
@@ -67,20 +67,20 @@
 
 // A successor waits 30 s for a right that nobody uses. Daemons that don't hear the coordinator any more give their word
 // as soon as their promise has ended, and not before.
-func TestWordIsGivenWhenThePromiseEnds(t *testing.T) {
+func TestWithdrawAfterPromiseEnds(t *testing.T) {
 	p := Promise{}
 	now := 10 * time.Second
-	require.True(t, p.Renew(now, 3, promiseTime))
-	require.False(t, p.Withdraw(now+promiseTime-1, 3))
-	require.True(t, p.Withdraw(now+promiseTime, 3))
-	require.False(t, p.Renew(now+promiseTime, 3, promiseTime), "the word is for good")
-	require.True(t, p.Renew(now+promiseTime, 4, promiseTime))
+	require.True(t, p.Renew(now, 3, promiseDuration))
+	require.False(t, p.Withdraw(now+promiseDuration-1, 3))
+	require.True(t, p.Withdraw(now+promiseDuration, 3))
+	require.False(t, p.Renew(now+promiseDuration, 3, promiseDuration), "the word is for good")
+	require.True(t, p.Renew(now+promiseDuration, 4, promiseDuration))
 }
 
 // An order is sent by a coordinator whose supporter has started again and given its word in its next life. A daemon that
 // has just started gives no word until every promise of an earlier life has ended.
-func TestNoWordRightAfterTheStart(t *testing.T) {
-	p := Promise{Started: 5 * time.Second}
+func TestNoWithdrawalRightAfterStart(t *testing.T) {
+	p := Promise{StartedAt: 5 * time.Second}
 	require.False(t, p.Withdraw(5*time.Second+longestPromise-1, 1))
 	require.True(t, p.Withdraw(5*time.Second+longestPromise, 1))
 }
@@ -94,22 +94,22 @@
 		s    State
 		want Decision
 	}{
-		{"heard of", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), Heard: 900 * time.Millisecond, Known: time.Hour}, Wait{}},
-		{"silent", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), Heard: 1300 * time.Millisecond, Known: time.Hour}, Ask{Clean: true}},
-		{"silent for long", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), Heard: 9 * time.Second, Known: time.Hour}, Take{WithoutQuorum: true}},
-		{"silent, without the support of a quorum", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1, WithoutQuorum: true}), Heard: 1300 * time.Millisecond, Known: time.Hour}, Ask{}},
-		{"silent, the store too", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), Heard: time.Minute, Known: time.Hour, Copied: 2 * time.Second}, Wait{}},
-		{"handed over", State{Snapshot: row(site.Coordinator{Clean: true, Term: 2}), Heard: 300 * time.Millisecond, Known: time.Hour}, Take{Clean: true}},
-		{"started again", State{Snapshot: row(site.Coordinator{Daemon: "a"}), Heard: 300 * time.Millisecond, Known: time.Hour}, Take{Clean: true}},
-		{"an earlier life of this one", State{Snapshot: row(site.Coordinator{Daemon: "b", Incarnation: 0})}, Take{Clean: true}},
-		{"this one", State{Snapshot: row(site.Coordinator{Daemon: "b", Incarnation: 1}), Heard: time.Minute}, Wait{}},
-		{"first start", State{Snapshot: row(site.Coordinator{}), Known: 2 * time.Second}, Take{Clean: true}},
-		{"first start, others to come", State{Snapshot: row(site.Coordinator{}), Known: 500 * time.Millisecond}, Wait{}},
-		{"leaving", State{Snapshot: row(site.Coordinator{}), Heard: time.Minute, Known: time.Hour, Leaving: true}, Wait{}},
+		{"heard of", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), SinceContact: 900 * time.Millisecond, SinceLoaded: time.Hour}, Wait{}},
+		{"silent", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), SinceContact: 1300 * time.Millisecond, SinceLoaded: time.Hour}, RequestWithdrawals{Clean: true}},
+		{"silent for long", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), SinceContact: 9 * time.Second, SinceLoaded: time.Hour}, TakeOver{WithoutQuorum: true}},
+		{"silent, without the support of a quorum", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1, WithoutQuorum: true}), SinceContact: 1300 * time.Millisecond, SinceLoaded: time.Hour}, RequestWithdrawals{}},
+		{"silent, the store too", State{Snapshot: row(site.Coordinator{Daemon: "a", Incarnation: 1}), SinceContact: time.Minute, SinceLoaded: time.Hour, CopyAge: 2 * time.Second}, Wait{}},
+		{"handed over", State{Snapshot: row(site.Coordinator{Clean: true, Term: 2}), SinceContact: 300 * time.Millisecond, SinceLoaded: time.Hour}, TakeOver{Clean: true}},
+		{"started again", State{Snapshot: row(site.Coordinator{Daemon: "a"}), SinceContact: 300 * time.Millisecond, SinceLoaded: time.Hour}, TakeOver{Clean: true}},
+		{"an earlier life of this one", State{Snapshot: row(site.Coordinator{Daemon: "b", Incarnation: 0})}, TakeOver{Clean: true}},
+		{"this one", State{Snapshot: row(site.Coordinator{Daemon: "b", Incarnation: 1}), SinceContact: time.Minute}, Wait{}},
+		{"first start", State{Snapshot: row(site.Coordinator{}), SinceLoaded: 2 * time.Second}, TakeOver{Clean: true}},
+		{"first start, others to come", State{Snapshot: row(site.Coordinator{}), SinceLoaded: 500 * time.Millisecond}, Wait{}},
+		{"leaving", State{Snapshot: row(site.Coordinator{}), SinceContact: time.Minute, SinceLoaded: time.Hour, Leaving: true}, Wait{}},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
-			x.s.Self, x.s.Life = "b", 1
+			x.s.Self, x.s.Incarnation = "b", 1
 			require.Equal(t, x.want, x.s.Decide())
 		})
 	}
@@ -117,17 +117,17 @@
 
 // A daemon that has just started is taken for gone, drops out of the shares and of those who support, and writes its row
 // again and again. It counts as silent only from when the coordinator first saw it in that life.
-func TestNewDaemonIsNotSilent(t *testing.T) {
+func TestNewDaemonIsNotWithoutContact(t *testing.T) {
 	const limit = 6 * time.Second
 	var s Support
 	began := 100 * time.Second
 	daemons := map[ident.Daemon]*site.Daemon{"self": {Incarnation: 1}, "old": {Incarnation: 1}}
-	s.Confirmed("old", began, promiseTime)
-	require.Empty(t, s.Silent(began+time.Second, began, limit, "self", daemons))
+	s.Confirm("old", began, promiseDuration)
+	require.Empty(t, s.WithoutContact(began+time.Second, began, limit, "self", daemons))
 	daemons["new"] = &site.Daemon{Incarnation: 1}
 	at := began + time.Minute
-	require.Equal(t, []ident.Daemon{"old"}, s.Silent(at, began, limit, "self", daemons))
+	require.Equal(t, []ident.Daemon{"old"}, s.WithoutContact(at, began, limit, "self", daemons))
 	daemons["old"] = &site.Daemon{Incarnation: 2} // started again
-	require.Empty(t, s.Silent(at, began, limit, "self", daemons))
-	require.Len(t, s.Silent(at+limit, began, limit, "self", daemons), 2)
+	require.Empty(t, s.WithoutContact(at, began, limit, "self", daemons))
+	require.Len(t, s.WithoutContact(at+limit, began, limit, "self", daemons), 2)
 }
--- a/core/elect/voters_test.go
+++ b/core/elect/voters_test.go
@@ -14,7 +14,7 @@
 	"heatherrouter/core/site"
 )
 
-func domains(daemons, domains int) map[ident.Daemon]*site.Daemon {
+func spreadDaemons(daemons, domains int) map[ident.Daemon]*site.Daemon {
 	m := map[ident.Daemon]*site.Daemon{}
 	for i := range daemons {
 		d := ident.Daemon(fmt.Sprintf("d%03d", i))
@@ -26,7 +26,7 @@
 // Guards against a takeover that the store refuses for its size, and against a lost domain that takes the majority along.
 func TestVotersAreFewAndSpread(t *testing.T) {
 	for _, n := range []int{1, 2, 12, 30, 100, 300, 820} {
-		m := domains(n, 6)
+		m := spreadDaemons(n, 6)
 		l := Voters("d000", m)
 		require.Len(t, l, min(n, MaxVoters))
 		require.Contains(t, l, ident.Daemon("d000"))
@@ -42,8 +42,8 @@
 }
 
 // Guards against voters drawn anew at each change of the site: each replacement is a transaction.
-func TestVotersStay(t *testing.T) {
-	m := domains(300, 5)
+func TestReplaceVotersKeepsPresentVoters(t *testing.T) {
+	m := spreadDaemons(300, 5)
 	l := Voters("d000", m)
 	for d := range maps.Clone(m) {
 		if !slices.Contains(l, d) && len(m) > 200 {
@@ -69,16 +69,16 @@
 }
 
 // Guards against hundreds of daemons that all ask all others at once after the coordinator is lost.
-func TestOnlyVotersAsk(t *testing.T) {
-	m := domains(300, 5)
+func TestOnlyVotersRequestWithdrawals(t *testing.T) {
+	m := spreadDaemons(300, 5)
 	s := &site.Snapshot{Daemons: m, Coordinator: site.Coordinator{Daemon: "d000", Term: 1}, Voters: Voters("d000", m)}
 	asking, late := 0, map[time.Duration]int{}
 	for d := range m {
-		x := State{Self: d, Snapshot: s, Heard: 6 * time.Second, Known: time.Hour}
-		if _, ok := x.Decide().(Ask); ok {
+		x := State{Self: d, Snapshot: s, SinceContact: 6 * time.Second, SinceLoaded: time.Hour}
+		if _, ok := x.Decide().(RequestWithdrawals); ok {
 			asking++
 		}
-		late[wait(x.rank())]++
+		late[rankDelay(x.rank())]++
 	}
 	require.LessOrEqual(t, asking, MaxVoters)
 	require.Greater(t, asking, MaxVoters/2)
@@ -94,27 +94,27 @@
 	taken  bool
 }
 
-// replacing plays a coordinator that replaces its voters while another daemon collects words against it.
-type replacing struct {
+// replacement plays a coordinator that replaces its voters while another daemon collects words against it.
+type replacement struct {
 	r       *rand.Rand
 	names   []ident.Daemon
-	daemons map[ident.Daemon]*daemonAt
+	daemons map[ident.Daemon]*simDaemon
 	support Support
 
-	row      voterRow
-	known    voterRow       // as the coordinator has learnt it
-	proposed []ident.Daemon // sent to the store and not known to have failed
-	words    map[ident.Daemon]bool
-	read     voterRow // as the candidate has read it
+	row         voterRow
+	known       voterRow       // as the coordinator has learnt it
+	proposed    []ident.Daemon // sent to the store and not known to have failed
+	withdrawals map[ident.Daemon]bool
+	read        voterRow // as the candidate has read it
 }
 
-func newReplacing(seed uint64) *replacing {
-	p := &replacing{r: rand.New(rand.NewPCG(seed, 11)), daemons: map[ident.Daemon]*daemonAt{}, words: map[ident.Daemon]bool{}}
+func newReplacement(seed uint64) *replacement {
+	p := &replacement{r: rand.New(rand.NewPCG(seed, 11)), daemons: map[ident.Daemon]*simDaemon{}, withdrawals: map[ident.Daemon]bool{}}
 	n := 6 + p.r.IntN(6)
 	for i := range n {
 		d := ident.Daemon(fmt.Sprint(i))
 		p.names = append(p.names, d)
-		p.daemons[d] = &daemonAt{offset: time.Duration(p.r.IntN(1000)) * time.Second, rate: 0.999 + 0.002*p.r.Float64()}
+		p.daemons[d] = &simDaemon{offset: time.Duration(p.r.IntN(1000)) * time.Second, rate: 0.999 + 0.002*p.r.Float64()}
 	}
 	p.row = voterRow{rev: 1, voters: p.draw()}
 	p.known, p.read = p.row, p.row
@@ -122,7 +122,7 @@
 }
 
 // draw returns the coordinator and a few others.
-func (p *replacing) draw() []ident.Daemon {
+func (p *replacement) draw() []ident.Daemon {
 	l := []ident.Daemon{"0"}
 	for _, i := range p.r.Perm(len(p.names) - 1)[:2+p.r.IntN(3)] {
 		l = append(l, p.names[i+1])
@@ -131,18 +131,18 @@
 }
 
 // promise lets some daemons hear the coordinator.
-func (p *replacing) promise(now time.Duration, heard []ident.Daemon) {
-	for _, n := range heard {
+func (p *replacement) promise(now time.Duration, reachable []ident.Daemon) {
+	for _, n := range reachable {
 		d, sent := p.daemons[n], now-time.Duration(p.r.IntN(300))*time.Millisecond
-		if p.r.IntN(10) == 0 && d.promise.Renew(d.clock(now), 1, promiseTime) {
-			p.support.Confirmed(n, sent, promiseTime*99/100)
+		if p.r.IntN(10) == 0 && d.promise.Renew(d.clock(now), 1, promiseDuration) {
+			p.support.Confirm(n, sent, promiseDuration*99/100)
 		}
 	}
 }
 
 // replace has the coordinator propose other voters, the store carry that out at some time if the row is as expected, and
 // the coordinator learn of it at some later time.
-func (p *replacing) replace() {
+func (p *replacement) replace() {
 	switch {
 	case p.proposed == nil && p.r.IntN(40) == 0:
 		p.proposed = p.draw()
@@ -154,17 +154,17 @@
 }
 
 // takeOver has the candidate read the row now and then, and take over once it has the words of a quorum of its voters.
-func (p *replacing) takeOver(now time.Duration) {
+func (p *replacement) takeOver(now time.Duration) {
 	if p.r.IntN(20) == 0 {
 		p.read = p.row
 	}
 	n := p.names[1+p.r.IntN(len(p.names)-1)]
 	if d := p.daemons[n]; d.promise.Withdraw(d.clock(now), 1) {
-		p.words[n] = true
+		p.withdrawals[n] = true
 	}
 	given := 0
 	for _, v := range p.read.voters {
-		if p.words[v] {
+		if p.withdrawals[v] {
 			given++
 		}
 	}
@@ -177,13 +177,13 @@
 func TestOneCoordinatorWhileVotersAreReplaced(t *testing.T) {
 	taken := 0
 	for seed := range uint64(600) {
-		p := newReplacing(seed)
-		heard := slices.Clone(p.names[1:])
+		p := newReplacement(seed)
+		reachable := slices.Clone(p.names[1:])
 		for now := 10 * time.Second; now < 25*time.Second; now += 20 * time.Millisecond {
 			if p.r.IntN(80) == 0 { // others are cut off
-				p.r.Shuffle(len(heard), func(i, j int) { heard[i], heard[j] = heard[j], heard[i] })
+				p.r.Shuffle(len(reachable), func(i, j int) { reachable[i], reachable[j] = reachable[j], reachable[i] })
 			}
-			p.promise(now, heard[:len(heard)/2])
+			p.promise(now, reachable[:len(reachable)/2])
 			p.replace()
 			p.takeOver(now)
 			if p.row.taken {
@@ -196,10 +196,10 @@
 }
 
 // Guards against keys that lapse everywhere before a lost coordinator of a large site is followed.
-func TestLostCoordinatorIsFollowedBeforeGrantsLapse(t *testing.T) {
+func TestLostCoordinatorReplacedBeforeGrantsExpire(t *testing.T) {
 	const grants, renewed = 3 * time.Second, 900 * time.Millisecond
 	for _, n := range []int{3, 12, 82, 300, 820} {
-		m := domains(n, 6)
+		m := spreadDaemons(n, 6)
 		s := &site.Snapshot{Daemons: m, Coordinator: site.Coordinator{Daemon: "d000", Term: 1}, Voters: Voters("d000", m)}
 		var voter ident.Daemon
 		for _, v := range s.Voters {
@@ -207,8 +207,8 @@
 				voter = v
 			}
 		}
-		require.LessOrEqual(t, silence(s), grants-renewed, "%d daemons", n)
-		require.LessOrEqual(t, PromiseTime(s), grants-renewed, "%d daemons", n)
-		require.IsType(t, Ask{}, (&State{Self: voter, Snapshot: s, Heard: grants - renewed, Known: time.Hour}).Decide())
+		require.LessOrEqual(t, contactTimeout(s), grants-renewed, "%d daemons", n)
+		require.LessOrEqual(t, PromiseDuration(s), grants-renewed, "%d daemons", n)
+		require.IsType(t, RequestWithdrawals{}, (&State{Self: voter, Snapshot: s, SinceContact: grants - renewed, SinceLoaded: time.Hour}).Decide())
 	}
 }
--- a/core/hold/admit.go
+++ b/core/hold/admit.go
@@ -64,7 +64,7 @@
 
 // carries returns the requests a second that the target carries without most of them being late.
 func (p *planner) carries(i int) float64 {
-	return carried * float64(max(1, p.targets[i].Slots)) / (p.work[i] * choice.Disturbed * meanWork)
+	return carried * float64(max(1, p.targets[i].Slots)) / (p.work[i] * choice.MeanInterference * meanWork)
 }
 
 // shares divides what a target carries among its busiest buckets and all its other keys: none of them gets more than it
--- a/core/hold/admit_test.go
+++ b/core/hold/admit_test.go
@@ -42,7 +42,7 @@
 	all := targets(200 * time.Millisecond)
 	r := make(Rates, Keys/BucketKeys)
 	for i := range r {
-		r[i] = 2 * carried * 3 / (0.2 * choice.Disturbed * meanWork) / float64(len(r))
+		r[i] = 2 * carried * 3 / (0.2 * choice.MeanInterference * meanWork) / float64(len(r))
 	}
 	l := []Hold{{Range: Range{First: 0, Last: 65535}, Server: "s0"}}
 	next := Admit(l, all, r)
@@ -68,5 +68,5 @@
 			sent += r[b] * share
 		}
 	}
-	require.InDelta(t, carried*3/(0.2*choice.Disturbed*meanWork), sent, 2)
+	require.InDelta(t, carried*3/(0.2*choice.MeanInterference*meanWork), sent, 2)
 }
--- a/core/hold/balance.go
+++ b/core/hold/balance.go
@@ -202,7 +202,7 @@
 
 // fits returns the requests a second that a usual server without any takes on without being late.
 func (p *planner) fits() float64 {
-	return fitting * float64(max(1, p.targets[0].Slots)) / (p.usual * choice.Disturbed)
+	return fitting * float64(max(1, p.targets[0].Slots)) / (p.usual * choice.MeanInterference)
 }
 
 // busyShare is the part of a server's load from which a single bucket is worth cutting out of the middle of a range.
--- a/core/hold/plan.go
+++ b/core/hold/plan.go
@@ -171,7 +171,7 @@
 
 // used returns which part of the target's slots the load fills.
 func (p *planner) used(i int, load float64) float64 {
-	return load * p.work[i] * choice.Disturbed / float64(max(1, p.targets[i].Slots))
+	return load * p.work[i] * choice.MeanInterference / float64(max(1, p.targets[i].Slots))
 }
 
 // nearFull is the part of a server's slots from which on a line only grows.
--- a/core/pace/budget.go
+++ b/core/pace/budget.go
@@ -6,78 +6,79 @@
 	"heatherrouter/core/mono"
 )
 
-// Budget bounds the sends beyond the first of each request to one service.
-type Budget struct {
-	Since mono.Time // of this life of the daemon
+// RetryBudget limits this daemon's retries of the requests to one service.
+type RetryBudget struct {
+	StartedAt mono.Time // start of this incarnation of the daemon
 
-	first, more counter
+	requests, retries windowCounter
 }
 
-// BudgetLimit is the bound of all daemons together.
-type BudgetLimit struct {
-	Ratio  float64 // of the requests for the service
-	Slack  float64 // sends beyond that
+// RetryLimit is the limit on the retries of all daemons together.
+type RetryLimit struct {
+	Ratio  float64 // retries per request to the service
+	Slack  float64 // retries in addition to that
 	Window time.Duration
 }
 
-// budgetShare is the part of the bound that is used. Requests fall on the daemons unevenly, and each counts its own.
-const budgetShare = 0.8
+// budgetUtilisation is the fraction of the limit that is used. Requests are spread unevenly over the daemons, and each
+// counts only its own.
+const budgetUtilisation = 0.8
 
-// Arrive counts a request for the service.
-func (b *Budget) Arrive(now mono.Time, l BudgetLimit) {
-	b.first.add(now, l.Window)
+// CountRequest records a request to the service.
+func (b *RetryBudget) CountRequest(now mono.Time, l RetryLimit) {
+	b.requests.add(now, l.Window)
 }
 
-// firstTries is the part of the budget that requests may use whose callers would come back. A caller comes back on its own
-// account once: repeated here at once, each request that meets a failing server costs the budget; repeated only when it
-// fails again after it came back, it costs half as much or less, and as many are served in the end.
-const firstTries = 0.5
+// firstTryShare is the fraction of the budget for requests that are not caller retries. A caller retries a refused
+// request once by itself. If the daemon retries at once, each request that meets a failing server costs budget. If it
+// retries only the caller's retry, it spends half as much or less, and as many requests are served in the end.
+const firstTryShare = 0.5
 
-// Take pays for one more send, or reports that there is nothing left. A request that came back after a refusal may use all
-// of the budget: its caller won't come another time.
-func (b *Budget) Take(now mono.Time, daemons int, l BudgetLimit, cameBack bool) bool {
+// Take spends one retry, or reports false if the budget is exhausted. A caller retry may use the whole budget, since
+// its caller will not try again.
+func (b *RetryBudget) Take(now mono.Time, daemons int, l RetryLimit, callerRetry bool) bool {
 	slack := l.Slack / float64(max(1, daemons))
-	if now.Sub(b.Since) < l.Window {
-		slack = 0 // the life before this one may have spent it
+	if now.Sub(b.StartedAt) < l.Window {
+		slack = 0 // the previous incarnation may have spent it
 	}
-	allowed := (b.first.sum(now, l.Window)*l.Ratio + slack) * budgetShare
-	if !cameBack {
-		allowed *= firstTries
+	allowed := (b.requests.sum(now, l.Window)*l.Ratio + slack) * budgetUtilisation
+	if !callerRetry {
+		allowed *= firstTryShare
 	}
-	if b.more.sum(now, l.Window)+1 > allowed {
+	if b.retries.sum(now, l.Window)+1 > allowed {
 		return false
 	}
-	b.more.add(now, l.Window)
+	b.retries.add(now, l.Window)
 	return true
 }
 
-// cells is how many parts of its window a counter forgets one by one.
-const cells = 10
+// counterCells is the number of cells by which the window of a windowCounter moves.
+const counterCells = 10
 
-// counter counts events in about the last window, never fewer than happened in it.
-type counter struct {
-	n    [cells + 1]float64
-	cell int64 // of the newest event
+// windowCounter counts the events in a sliding window. It may include slightly older events but misses none.
+type windowCounter struct {
+	n    [counterCells + 1]float64
+	cell int64 // number of the newest cell
 }
 
-func (c *counter) turn(now mono.Time, w time.Duration) int64 {
-	cell := int64(now) / max(1, int64(w)/cells)
+func (c *windowCounter) advance(now mono.Time, w time.Duration) int64 {
+	cell := int64(now) / max(1, int64(w)/counterCells)
 	for c.cell < cell {
 		c.cell++
-		if cell-c.cell > cells {
-			c.cell = cell - cells
+		if cell-c.cell > counterCells {
+			c.cell = cell - counterCells
 		}
-		c.n[c.cell%(cells+1)] = 0
+		c.n[c.cell%(counterCells+1)] = 0
 	}
 	return cell
 }
 
-func (c *counter) add(now mono.Time, w time.Duration) {
-	c.n[c.turn(now, w)%(cells+1)]++
+func (c *windowCounter) add(now mono.Time, w time.Duration) {
+	c.n[c.advance(now, w)%(counterCells+1)]++
 }
 
-func (c *counter) sum(now mono.Time, w time.Duration) float64 {
-	c.turn(now, w)
+func (c *windowCounter) sum(now mono.Time, w time.Duration) float64 {
+	c.advance(now, w)
 	s := 0.0
 	for _, x := range c.n {
 		s += x
@@ -85,23 +86,23 @@
 	return s
 }
 
-// Patience follows how long the callers of a route wait in all, to tell a request that came back after a refusal from a
-// new one: less of its caller's time is left.
-type Patience struct {
+// CallerRetryDetector recognises requests that a caller has sent again after a refusal. It tracks the longest time
+// that the callers of a route allow: a retry has less time left.
+type CallerRetryDetector struct {
 	longest time.Duration
 }
 
-// unsteady is by how much the time that new requests tell may differ. One that came back has lost more: it was answered
-// before, and told when to come back.
-const unsteady = 10 * time.Millisecond
+// remainingTolerance is the range within which the remaining times of new requests differ. A retry has lost more,
+// since it was already answered once and was told how long to wait.
+const remainingTolerance = 10 * time.Millisecond
 
-// forget is the part of the difference by which each request brings the longest time nearer to its own. One caller that
-// waits for a minute would else make all others look as if they had come back, for good.
-const forget = 0.002
+// longestDecay is the fraction of the difference by which each request lowers the longest time towards its own.
+// Otherwise one caller with a timeout of a minute would make all later requests look like retries.
+const longestDecay = 0.002
 
-// CameBack takes in how much time a request has left, and reports whether it seems to have come back.
-func (p *Patience) CameBack(left time.Duration) bool {
-	back := left < p.longest-unsteady
-	p.longest = max(left, p.longest-time.Duration(forget*float64(p.longest-left)))
-	return back
+// Observe records the remaining time of a request and reports whether it appears to be a caller retry.
+func (p *CallerRetryDetector) Observe(remaining time.Duration) bool {
+	retry := remaining < p.longest-remainingTolerance
+	p.longest = max(remaining, p.longest-time.Duration(longestDecay*float64(p.longest-remaining)))
+	return retry
 }
--- a/core/pace/pace.go
+++ b/core/pace/pace.go
@@ -1,8 +1,9 @@
-// Package pace keeps what all daemons do together under a bound, by giving each its share: requests to a cold backend
-// server, and sends beyond the first of each request.
+// Package pace keeps the total of what all daemons send within a limit, by giving each daemon a share. It covers
+// requests to a cold backend server and retries.
 //
-// The daemons don't ask each other. Each knows how many there are, and a share that is counted so that the sum holds in
-// any span of time needs no message; the price is that a share unused by one is lost to the others.
+// The daemons exchange no messages for this. Each knows the number of daemons, and the shares are counted so that
+// their sum stays within the limit in any span of time. The cost is that a share which one daemon does not use is not
+// available to the others.
 package pace
 
 import (
@@ -14,14 +15,14 @@
 	"heatherrouter/core/mono"
 )
 
-// Window allows a number of events in any span of its length.
-type Window struct {
-	at []mono.Time // the latest events, a ring
-	i  int
+// SlidingWindow limits the number of events in any span of a given length.
+type SlidingWindow struct {
+	at []mono.Time // ring of the latest events; 0 is none
+	i  int         // index of the oldest event
 }
 
-// Take counts an event now if fewer than n have happened in the span before it.
-func (w *Window) Take(now mono.Time, n int, span time.Duration) bool {
+// Take records an event if fewer than n have happened in the span before now; it reports whether it did.
+func (w *SlidingWindow) Take(now mono.Time, n int, span time.Duration) bool {
 	if !w.Allows(now, n, span) {
 		return false
 	}
@@ -30,8 +31,8 @@
 	return true
 }
 
-// Allows reports whether Take would count an event now.
-func (w *Window) Allows(now mono.Time, n int, span time.Duration) bool {
+// Allows reports whether Take would record an event now.
+func (w *SlidingWindow) Allows(now mono.Time, n int, span time.Duration) bool {
 	if n <= 0 {
 		return false
 	}
@@ -42,8 +43,8 @@
 	return oldest == 0 || now.Sub(oldest) >= span
 }
 
-// resize keeps the newest events.
-func (w *Window) resize(n int) {
+// resize sets the capacity to n and keeps the newest events.
+func (w *SlidingWindow) resize(n int) {
 	var l []mono.Time
 	for k := range w.at {
 		if t := w.at[(w.i+k)%len(w.at)]; t != 0 {
@@ -56,42 +57,43 @@
 }
 
 const (
-	// ColdSpan is the span for which a ColdShare holds: a little more than the second in which the bound is counted, for
-	// clocks that run apart.
-	ColdSpan = 1050 * time.Millisecond
+	// ColdWindow is the span that a ColdShare applies to. It is slightly longer than the second in which the limit is
+	// counted, since the daemons' clocks differ.
+	ColdWindow = 1050 * time.Millisecond
 
-	// coldShare is the part of the bound that is used: above the rate that a cold server carries it may crash, and a
-	// daemon that starts again knows nothing of the requests that it has just sent.
-	coldShare = 0.7
+	// coldUtilisation is the fraction of the limit that is used. A cold server may crash above the rate it can serve,
+	// and a restarted daemon does not know which requests it has just sent.
+	coldUtilisation = 0.7
 )
 
-// ColdLimit is the bound of all daemons together for one server.
+// ColdLimit is the limit on the requests of all daemons together to one cold server.
 type ColdLimit struct {
-	Rate   float64 // requests a second that the server carries
-	Factor float64 // of the rate, that may be sent
-	Slack  float64 // requests beyond that
+	Rate   float64 // requests per second that the server can serve
+	Factor float64 // multiple of Rate that may be sent
+	Slack  float64 // requests per second in addition to that
 }
 
 func (l ColdLimit) perSecond() int {
-	return int(math.Floor((l.Rate*l.Factor + l.Slack) * coldShare))
+	return int(math.Floor((l.Rate*l.Factor + l.Slack) * coldUtilisation))
 }
 
-// ColdShare returns how many requests this daemon may send a cold server in any ColdSpan. Where the bound is smaller than
-// the number of daemons, the first few by rendezvous score send, each one request a second.
+// ColdShare returns how many requests this daemon may send to a cold server in any ColdWindow. A remainder of the
+// limit goes to the daemons with the highest rendezvous scores, one request each; if the limit is below the number of
+// daemons, only these send.
 func ColdShare(s ident.Server, self ident.Daemon, daemons []ident.Daemon, l ColdLimit) int {
 	total, count := l.perSecond(), max(1, len(daemons))
-	n, rest := total/count, total%count
-	if rest == 0 {
+	n, remainder := total/count, total%count
+	if remainder == 0 {
 		return n
 	}
-	before := 0
+	higher := 0
 	mine := live.Score(string(s), self)
 	for _, d := range daemons {
 		if d != self && live.Score(string(s), d) > mine {
-			before++
+			higher++
 		}
 	}
-	if before < rest {
+	if higher < remainder {
 		n++
 	}
 	return n
--- a/core/pace/pace_test.go
+++ b/core/pace/pace_test.go
@@ -12,9 +12,9 @@
 	"heatherrouter/core/mono"
 )
 
-// A server that has just started falls over. Daemons that don't talk to each other send it all that their shares allow;
-// in no second may that be more than the server carries, whether there are fewer of them than requests allowed or more.
-func TestColdServerOverAllDaemons(t *testing.T) {
+// Guards against overload of a server that has just started. Daemons send all that their shares allow without
+// communication. In no second may the total exceed the limit, with fewer daemons than allowed requests or with more.
+func TestColdLimitHoldsOverAllDaemons(t *testing.T) {
 	l := ColdLimit{Rate: 5.2, Factor: 1.5, Slack: 5}
 	for _, n := range []int{1, 3, 8, 12, 82} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -23,10 +23,10 @@
 			for i := range n {
 				names = append(names, ident.Daemon(fmt.Sprint("d", i)))
 			}
-			cold := make([]Window, n)
+			cold := make([]SlidingWindow, n)
 			var sent []mono.Time
 			for now := mono.Time(time.Hour); now < mono.Time(time.Hour+20*time.Second); now += mono.Time(time.Millisecond) {
-				if i := r.IntN(n); cold[i].Take(now, ColdShare("s/1", names[i], names, l), ColdSpan) {
+				if i := r.IntN(n); cold[i].Take(now, ColdShare("s/1", names[i], names, l), ColdWindow) {
 					sent = append(sent, now)
 				}
 			}
@@ -44,20 +44,20 @@
 	}
 }
 
-// Servers are overrun by repeats. All requests of a service fail and every daemon repeats what its budget allows; over
-// all daemons and in any window that may not be more than the site's share of the requests and its slack.
-func TestBudgetOverAllDaemons(t *testing.T) {
+// Guards against overload by retries. All requests of a service fail, and every daemon retries as often as its budget
+// allows. In any window the total must stay within the site's ratio of requests and its slack.
+func TestRetryLimitHoldsOverAllDaemons(t *testing.T) {
 	const daemons = 12
-	l := BudgetLimit{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}
+	l := RetryLimit{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}
 	r := rand.New(rand.NewPCG(2, 2))
-	budgets := make([]Budget, daemons)
-	var first, more []mono.Time
+	budgets := make([]RetryBudget, daemons)
+	var requests, retries []mono.Time
 	for now := mono.Time(time.Hour); now < mono.Time(time.Hour+60*time.Second); now += mono.Time(10 * time.Millisecond) {
-		i := int(r.ExpFloat64()*3) % daemons // uneven
-		budgets[i].Arrive(now, l)
-		first = append(first, now)
+		i := int(r.ExpFloat64()*3) % daemons // uneven load
+		budgets[i].CountRequest(now, l)
+		requests = append(requests, now)
 		if budgets[i].Take(now, daemons, l, true) {
-			more = append(more, now)
+			retries = append(retries, now)
 		}
 	}
 	within := func(at []mono.Time, from mono.Time) (n int) {
@@ -68,18 +68,18 @@
 		}
 		return n
 	}
-	for _, from := range more {
-		require.LessOrEqual(t, float64(within(more, from)), l.Ratio*float64(within(first, from))+l.Slack)
+	for _, from := range retries {
+		require.LessOrEqual(t, float64(within(retries, from)), l.Ratio*float64(within(requests, from))+l.Slack)
 	}
-	require.Greater(t, len(more), len(first)/10, "the budget is used")
+	require.Greater(t, len(retries), len(requests)/10, "too little of the retry budget is used")
 }
 
-func TestWindowForgets(t *testing.T) {
-	var w Window
+func TestSlidingWindowExpiresEvents(t *testing.T) {
+	var w SlidingWindow
 	now := mono.Time(time.Hour)
 	require.True(t, w.Take(now, 2, time.Second))
 	require.True(t, w.Take(now, 2, time.Second))
 	require.False(t, w.Take(now.Add(999*time.Millisecond), 2, time.Second))
-	require.False(t, w.Take(now.Add(999*time.Millisecond), 1, time.Second), "a smaller share keeps what was sent")
+	require.False(t, w.Take(now.Add(999*time.Millisecond), 1, time.Second), "a smaller limit must keep the recorded events")
 	require.True(t, w.Take(now.Add(time.Second), 2, time.Second))
 }
--- a/core/source/source.go
+++ b/core/source/source.go
@@ -96,7 +96,7 @@
 	wait := elect.SyncWait(s, t.self)
 	c := s.Coordinator.Daemon
 	if c == "" {
-		c = elect.First(s) // it reads the store, and becomes the coordinator
+		c = elect.TopCandidate(s) // it reads the store, and becomes the coordinator
 	}
 	if c != "" && c != t.self && s.Daemons[c] != nil {
 		if t.trusts(s, c) {
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -89,7 +89,7 @@
 		return lateGap - now.Sub(f.asked[t])
 	case t == store.Control:
 		return startGap - now.Sub(f.asked[t])
-	case f.askedTwice() && elect.First(f.snapshot) == f.o.Self:
+	case f.askedTwice() && elect.TopCandidate(f.snapshot) == f.o.Self:
 		return 0 // it is about to become the coordinator, and waits for a configuration
 	default:
 		return startLimit - now.Sub(f.started)
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -124,7 +124,7 @@
 // New returns a feed that knows nothing yet.
 func New(o Options) *Feed {
 	f := &Feed{
-		o: o, changed: make(chan struct{}), heard: o.Clock.Now(), reached: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{Started: o.Clock.Boot()},
+		o: o, changed: make(chan struct{}), heard: o.Clock.Now(), reached: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{StartedAt: o.Clock.Boot()},
 		sources: source.New(o.Self, rand.IntN),
 		snapshot: (&site.Snapshot{
 			Servers: map[ident.Server]*site.Server{}, Evacuated: map[ident.Domain]bool{}, Daemons: map[ident.Daemon]*site.Daemon{},
@@ -315,7 +315,7 @@
 func (f *Feed) Silent(began, d time.Duration) []ident.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.support.Silent(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
+	return f.support.WithoutContact(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
 }
 
 // Withdraw gives the word that this daemon doesn't support coordinators up to the term any more, if it can.
--- a/io/feed/sync.go
+++ b/io/feed/sync.go
@@ -281,7 +281,7 @@
 	f.reach(from)
 	if x.GetStamp() > 0 && site.Term(x.GetTerm()) == f.snapshot.Coordinator.Term && f.leads() {
 		// What was promised is what the answer said, which is the same as now unless the site has just grown or shrunk.
-		f.support.Confirmed(from, time.Duration(x.GetStamp()), duration(x.GetPromiseUs())) //nolint:gosec // a time of this process
+		f.support.Confirm(from, time.Duration(x.GetStamp()), duration(x.GetPromiseUs())) //nolint:gosec // a time of this process
 	}
 }
 
@@ -308,7 +308,7 @@
 			r.ReachedAgeUs = 0 // else it may be cut off itself, with the daemons that still ask it
 		}
 		r.Stamp = uint64(f.o.Clock.Boot()) //nolint:gosec // a time since the host's start
-		r.PromiseUs = micros(elect.PromiseTime(f.snapshot))
+		r.PromiseUs = micros(elect.PromiseDuration(f.snapshot))
 	}
 	if peer := decodeStamp(x.GetHolds()); f.holds != nil && peer.Before(f.holds.Stamp) {
 		var err error
--- a/io/grant/elect.go
+++ b/io/grant/elect.go
@@ -19,9 +19,9 @@
 // present coordinator was read before the snapshot: were its voters replaced in between, the transaction would fail.
 func (g *Granter) takeTurn(c context.Context, row store.Row, s *site.Snapshot, d elect.Decision) bool {
 	switch x := d.(type) {
-	case elect.Ask:
-		return g.askWithdrawals(s) && g.takeOver(c, row.Rev, s, elect.Take{Clean: x.Clean})
-	case elect.Take:
+	case elect.RequestWithdrawals:
+		return g.askWithdrawals(s) && g.takeOver(c, row.Rev, s, elect.TakeOver{Clean: x.Clean})
+	case elect.TakeOver:
 		clear(g.given)
 		return g.takeOver(c, row.Rev, s, x)
 	}
@@ -32,7 +32,7 @@
 const retryTurn = 250 * time.Millisecond
 
 // takeOver writes this daemon down as the coordinator that follows the one of the row's revision.
-func (g *Granter) takeOver(c context.Context, rev store.Rev, s *site.Snapshot, t elect.Take) bool {
+func (g *Granter) takeOver(c context.Context, rev store.Rev, s *site.Snapshot, t elect.TakeOver) bool {
 	now := g.o.Clock.Now()
 	if now.Before(g.nextTry) {
 		return false
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -217,9 +217,9 @@
 	s := g.o.Feed.Snapshot()
 	copied, heard := g.o.Feed.Ages()
 	st := elect.State{
-		Self: g.o.Self, Life: g.o.Life, Leaving: g.leaving.Load(), Snapshot: s, Copied: copied, Heard: heard, Known: now.Sub(g.known),
+		Self: g.o.Self, Incarnation: g.o.Life, Leaving: g.leaving.Load(), Snapshot: s, CopyAge: copied, SinceContact: heard, SinceLoaded: now.Sub(g.known),
 	}
-	if !st.Leads() || g.leaving.Load() && g.term == 0 {
+	if !st.IsCoordinator() || g.leaving.Load() && g.term == 0 {
 		g.stop()
 		if !g.takeTurn(c, row, s, st.Decide()) {
 			return now.Add(lookEvery)
--- a/io/grant/member.go
+++ b/io/grant/member.go
@@ -33,12 +33,12 @@
 		g.dropGone(c)
 		return true
 	}
-	if now.Sub(g.supported) < elect.NoQuorumAfter {
+	if now.Sub(g.supported) < elect.NoQuorumTimeout {
 		return true
 	}
 	clear(g.given)
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
-	return !g.takeOver(c, row.Rev, s, elect.Take{Clean: true, WithoutQuorum: true}) // it has sent nothing since it lost the support
+	return !g.takeOver(c, row.Rev, s, elect.TakeOver{Clean: true, WithoutQuorum: true}) // it has sent nothing since it lost the support
 }
 
 // maxDrops is how many rows one transaction drops at most, each of them expected and dropped: the store takes 100 entries.
--- a/io/grant/rates.go
+++ b/io/grant/rates.go
@@ -28,7 +28,7 @@
 type rates struct {
 	mu       sync.Mutex
 	services map[ident.Service]*rate
-	paces    map[ident.Server]*choice.Least
+	paces    map[ident.Server]*choice.WindowedMin
 	units    map[ident.Service]*choice.Quantile // of a request's time at a usual server, in nanoseconds
 }
 
@@ -39,7 +39,7 @@
 }
 
 func newRates() *rates {
-	return &rates{services: map[ident.Service]*rate{}, paces: map[ident.Server]*choice.Least{}, units: map[ident.Service]*choice.Quantile{}}
+	return &rates{services: map[ident.Service]*rate{}, paces: map[ident.Server]*choice.WindowedMin{}, units: map[ident.Service]*choice.Quantile{}}
 }
 
 func (r *rates) reset() {
@@ -67,13 +67,13 @@
 		if p := x.GetPacePercent(); p > 0 {
 			id := ident.Server(x.GetServer())
 			if r.paces[id] == nil {
-				r.paces[id] = &choice.Least{}
+				r.paces[id] = &choice.WindowedMin{}
 			}
 			r.paces[id].Add(now, float64(p)/100)
 		}
 		q := r.units[ident.Service(x.GetService())]
 		if q == nil {
-			q = &choice.Quantile{P: choice.UnitQuantile}
+			q = &choice.Quantile{P: choice.ServiceTimeQuantile}
 			r.units[ident.Service(x.GetService())] = q
 		}
 		for _, t := range x.GetTook_100Us() {
@@ -120,5 +120,5 @@
 	if q == nil || pace == nil {
 		return 0
 	}
-	return time.Duration(q.Q * pace.At(now))
+	return time.Duration(q.Estimate * pace.Min(now))
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -119,7 +119,7 @@
 	n.sender = send.New(send.Options{
 		Self: s.Name, Domain: s.Domain, View: n.feed, Dialect: n.o.Platform.Dialect,
 		Cold:   pace.ColdLimit{Factor: s.Limits.ColdFactor, Slack: s.Limits.ColdSlack},
-		Budget: pace.BudgetLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
+		Budget: pace.RetryLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
 		Clock:  n.clock, Counter: n.meter, Log: n.o.Log, Limiter: n.limiter, Guard: n.guard, MaxCopyAge: s.Limits.MaxCopyAge,
 	})
 	if n.id, err = newIdentity(s.Name, n.feed.Snapshot); err != nil {
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -139,11 +139,11 @@
 	defer fasthttp.ReleaseRequest(req)
 	s.fill(req, r, b)
 	b.mu.Lock()
-	b.load.Mine++
+	b.load.OwnInFlight++
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		b.load.Mine--
+		b.load.OwnInFlight--
 		b.mu.Unlock()
 	}()
 	// No suspicion of a connection that is silent while others are answered: the server may be at work on the request, and
@@ -220,28 +220,28 @@
 	if x.Outcome == retry.Answered || x.End == admit.EndRefused {
 		if rep, ok := d.ParseLoad(resp.Header.Peek(d.Load)); ok {
 			b.report(now, rep)
-			if x.End == admit.EndAnswered && rep.Waiting == 0 && b.load.Undisturbed() {
-				unit = time.Duration(float64(took) / max(minPace, b.load.Own))
+			if x.End == admit.EndAnswered && rep.Waiting == 0 && b.load.AtBaseline() {
+				unit = time.Duration(float64(took) / max(minPace, b.load.BaseSlowdown))
 				b.sample(unit)
 			}
 		}
 	}
 	switch x.End {
 	case admit.EndAnswered:
-		b.load.Answered()
+		b.load.RecordSuccess()
 	case admit.EndRefused, admit.EndOverloaded:
 		b.refused(now, resp)
 	case admit.EndReset, admit.EndNoDial:
 		if x.Over {
-			b.load.Failed(now, avoidFull)
+			b.load.RecordFailure(now, avoidFull)
 			break
 		}
-		b.load.Failed(now, avoidFailed)
+		b.load.RecordFailure(now, avoidFailed)
 		b.suspect = now.Add(suspectRestart)
 	case admit.EndTimeout, admit.EndSilent:
-		b.load.Failed(now, avoidFailed)
+		b.load.RecordFailure(now, avoidFailed)
 	case admit.EndFailed:
-		b.load.Failed(now, avoidFull)
+		b.load.RecordFailure(now, avoidFull)
 	}
 	return unit
 }
@@ -253,7 +253,7 @@
 	switch {
 	case resp.StatusCode() == fasthttp.StatusMisdirectedRequest: // which is about the key, not the server
 	case !b.keyed:
-		b.load.Failed(now, avoidFull)
+		b.load.RecordFailure(now, avoidFull)
 	case b.load.Full(now):
 		b.load.AvoidUntil = max(b.load.AvoidUntil, now.Add(avoidFull))
 	}
--- a/io/send/back.go
+++ b/io/send/back.go
@@ -36,13 +36,13 @@
 
 	mu        sync.Mutex
 	load      choice.Load
-	cold      pace.Window // of requests while it is cold
+	cold      pace.SlidingWindow // of requests while it is cold
 	keyed     bool
 	samples   []uint32 // of the time of undisturbed requests, since the coordinator was last told
 	leastPace float64  // that it reported since then; 0 for no report
 
-	suspect mono.Time   // until when the server may have started again, and be cold, without having said so
-	again   pace.Window // of requests in that time
+	suspect mono.Time          // until when the server may have started again, and be cold, without having said so
+	again   pace.SlidingWindow // of requests in that time
 }
 
 const (
@@ -99,12 +99,12 @@
 
 // limit returns the window in which requests to the server are counted, how many it allows and for which span; nil when
 // the server is neither cold nor may be.
-func (s *Sender) limit(b *back, x *site.Server, v *site.Service, names []ident.Daemon, now mono.Time) (*pace.Window, int, time.Duration) {
+func (s *Sender) limit(b *back, x *site.Server, v *site.Service, names []ident.Daemon, now mono.Time) (*pace.SlidingWindow, int, time.Duration) {
 	switch {
 	case now.Before(x.ColdUntil):
 		l := s.o.Cold
 		l.Rate = v.WarmRate
-		return &b.cold, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdSpan
+		return &b.cold, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdWindow
 	case now.Before(b.suspect):
 		return &b.again, 1, suspectPace
 	}
@@ -121,17 +121,17 @@
 func (s *Sender) arrive(r *request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget(r.service.Name).Arrive(r.arrived, s.o.Budget)
+	s.budget(r.service.Name).CountRequest(r.arrived, s.o.Budget)
 	if r.service.Keyed && r.hasKey {
 		s.counts[bucket{service: r.service.Name, n: uint32(r.key) / hold.BucketKeys}]++
 	}
 }
 
 // budget returns the service's budget; the caller holds the lock.
-func (s *Sender) budget(n ident.Service) *pace.Budget {
+func (s *Sender) budget(n ident.Service) *pace.RetryBudget {
 	b := s.budgets[n]
 	if b == nil {
-		b = &pace.Budget{Since: s.started}
+		b = &pace.RetryBudget{StartedAt: s.started}
 		s.budgets[n] = b
 	}
 	return b
@@ -151,10 +151,10 @@
 	defer s.mu.Unlock()
 	p := s.waits[r.Name]
 	if p == nil {
-		p = &pace.Patience{}
+		p = &pace.CallerRetryDetector{}
 		s.waits[r.Name] = p
 	}
-	return p.CameBack(left)
+	return p.Observe(left)
 }
 
 // Measures returns what the coordinator plans by, since it was last asked: requests by key, and the speed of servers that
@@ -193,7 +193,7 @@
 
 // report takes in a server's report of its load.
 func (b *back) report(now mono.Time, r Report) {
-	b.load.Report(now, r.Running, r.Waiting, r.Pace)
+	b.load.ApplyReport(now, r.Running, r.Waiting, r.Pace)
 	if b.leastPace == 0 || r.Pace < b.leastPace {
 		b.leastPace = r.Pace
 	}
@@ -225,7 +225,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if q := s.units[n]; q != nil {
-		return time.Duration(q.Q)
+		return time.Duration(q.Estimate)
 	}
 	return 0
 }
@@ -235,7 +235,7 @@
 	defer s.mu.Unlock()
 	q := s.units[n]
 	if q == nil {
-		q = &choice.Quantile{P: choice.UnitQuantile}
+		q = &choice.Quantile{P: choice.ServiceTimeQuantile}
 		s.units[n] = q
 	}
 	q.Add(float64(d))
--- a/io/send/back_test.go
+++ b/io/send/back_test.go
@@ -69,7 +69,7 @@
 	s := &Sender{}
 	now := mono.Time(time.Hour)
 	idle := back{load: choice.Load{Slots: 3}}
-	full := back{load: choice.Load{Slots: 3, Mine: 6}}
+	full := back{load: choice.Load{Slots: 3, OwnInFlight: 6}}
 	require.Equal(t, retryFailing, s.refuse(&request{}, idle.unpaid(now)).retryAfter)
 	require.Equal(t, retryFull, s.refuse(&request{}, full.unpaid(now)).retryAfter)
 }
--- a/io/send/choose.go
+++ b/io/send/choose.go
@@ -34,7 +34,7 @@
 func (s *Sender) near(r *site.Route) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return choice.NearGain(s.sizes[r.Name], r.Target)
+	return choice.LocalityBonus(s.sizes[r.Name], r.Target)
 }
 
 // observeSize follows the mean size of the requests on a route with their answers, in bytes. Routes of one service may be
@@ -77,7 +77,7 @@
 		b.mu.Lock()
 		load := b.load
 		b.mu.Unlock()
-		l = append(l, choice.Candidate{Load: &load, Near: x.Domain == s.o.Domain, Usual: usual[x.ID]})
+		l = append(l, choice.Candidate{Load: &load, Local: x.Domain == s.o.Domain, InSubset: usual[x.ID]})
 		backs = append(backs, b)
 	}
 	i, ok := choice.Pick(now, l, s.unit(r.service.Name), s.near(r.route), rand.IntN)
@@ -175,7 +175,7 @@
 	if !b.load.Full(now) {
 		return false
 	}
-	expected := b.load.Expect(now, unit)
+	expected := b.load.ExpectedLatency(now, unit)
 	target := max(r.route.Target, r.route.Timeout/4)
 	return now.Add(expected) > min(r.arrived.Add(target), r.deadline)
 }
--- a/io/send/send.go
+++ b/io/send/send.go
@@ -73,7 +73,7 @@
 	View    View
 	Dialect Dialect
 	Cold    pace.ColdLimit // Rate comes with the service
-	Budget  pace.BudgetLimit
+	Budget  pace.RetryLimit
 	Clock   *clock.Clock
 	Counter Counter
 	Limiter Limiter
@@ -99,12 +99,12 @@
 
 	mu      sync.Mutex
 	backs   map[backKey]*back
-	budgets map[ident.Service]*pace.Budget
+	budgets map[ident.Service]*pace.RetryBudget
 	counts  map[bucket]uint32 // requests by key since the coordinator was last told
 	units   map[ident.Service]*choice.Quantile
-	sizes   map[string]float64        // mean bytes of a request and its answer, by route
-	waits   map[string]*pace.Patience // of callers, by route
-	splits  map[string]*choice.Split  // by route
+	sizes   map[string]float64                   // mean bytes of a request and its answer, by route
+	waits   map[string]*pace.CallerRetryDetector // of callers, by route
+	splits  map[string]*choice.Splitter          // by route
 	usuals  map[ident.Service]map[ident.Server]bool
 	usualOf *site.Snapshot // that the usual servers were worked out from
 	unknown unknownKeys    // that recently triggered a refresh
@@ -122,9 +122,9 @@
 	base, giveUp := context.WithCancel(context.Background())
 	return &Sender{
 		base: base, giveUp: giveUp, o: o, started: o.Clock.Now(), names: conns.Names{RequestID: o.Dialect.RequestID, NotRun: o.Dialect.NotRun},
-		backs: map[backKey]*back{}, budgets: map[ident.Service]*pace.Budget{}, counts: map[bucket]uint32{},
+		backs: map[backKey]*back{}, budgets: map[ident.Service]*pace.RetryBudget{}, counts: map[bucket]uint32{},
 		units: map[ident.Service]*choice.Quantile{}, sizes: map[string]float64{},
-		waits: map[string]*pace.Patience{}, splits: map[string]*choice.Split{},
+		waits: map[string]*pace.CallerRetryDetector{}, splits: map[string]*choice.Splitter{},
 	}
 }
 
@@ -260,14 +260,14 @@
 	}
 	l := make([]choice.Part, len(r.route.Parts))
 	for i, p := range r.route.Parts {
-		l[i] = choice.Part{Service: p.Service, Weight: p.Weight, Near: s.nearby(r, snap, snap.Config.Services[p.Service])}
+		l[i] = choice.Part{Service: p.Service, Weight: p.Weight, Local: s.nearby(r, snap, snap.Config.Services[p.Service])}
 	}
 	daemons := len(s.daemonNames(snap))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := s.splits[r.route.Name]
 	if x == nil {
-		x = &choice.Split{}
+		x = &choice.Splitter{}
 		s.splits[r.route.Name] = x
 	}
 	return x.Pick(l, daemons)
