--- a/core/choice/choice.go
+++ b/core/choice/choice.go
@@ -84,14 +84,14 @@
 	if serviceTime == 0 {
 		serviceTime = defaultServiceTime
 	}
-	busy := l.inFlight(now) + 1
+	inFlight := l.inFlight(now) + 1
 	slots := float64(max(1, l.Slots))
 	wait := 0.0
-	if busy > slots {
-		wait = (busy - slots) / slots
+	if inFlight > slots {
+		wait = (inFlight - slots) / slots
 	}
 	// With free slots, sharing a server still costs a little, which spreads requests over idle servers.
-	return time.Duration(float64(serviceTime) * slowdown * (1 + wait + sharingWeight*min(busy, slots)/slots))
+	return time.Duration(float64(serviceTime) * slowdown * (1 + wait + sharingWeight*min(inFlight, slots)/slots))
 }
 
 // reportWeight returns the weight of a report of the given age, between 0 and 1.
--- a/core/choice/least_test.go
+++ b/core/choice/least_test.go
@@ -16,9 +16,9 @@
 	var l WindowedMin
 	require.Zero(t, l.Min(now))
 	at := now
-	report := func(d time.Duration, pace float64) {
+	report := func(d time.Duration, slowdown float64) {
 		for end := at.Add(d); at < end; at = at.Add(50 * time.Millisecond) {
-			l.Add(at, pace)
+			l.Add(at, slowdown)
 		}
 	}
 	report(2*time.Second, 0.7)
--- a/core/choice/near_test.go
+++ b/core/choice/near_test.go
@@ -112,9 +112,9 @@
 // time, since fewer daemons send to one server that looks idle.
 func TestLocalityBonusCutsCrossDomainTraffic(t *testing.T) {
 	o := workload{size: 9000, target: 600 * time.Millisecond, serviceTime: 190 * time.Millisecond, rate: 100}
-	soonest := o.simulate(crossDomainTime)
-	near := o.simulate(LocalityBonus(o.size, o.target))
-	t.Logf("late and cross-domain: fastest server %.3f, local server %.3f", soonest, near)
-	require.Less(t, near.crossDomain, 0.4*soonest.crossDomain)
-	require.Less(t, near.late, soonest.late+0.01)
+	fastest := o.simulate(crossDomainTime)
+	local := o.simulate(LocalityBonus(o.size, o.target))
+	t.Logf("late and cross-domain: fastest server %.3f, local server %.3f", fastest, local)
+	require.Less(t, local.crossDomain, 0.4*fastest.crossDomain)
+	require.Less(t, local.late, fastest.late+0.01)
 }
--- a/core/choice/split.go
+++ b/core/choice/split.go
@@ -43,11 +43,11 @@
 		if p.Weight <= 0 {
 			continue
 		}
-		owed := s.deficit[p.Service]
-		if most < 0 || owed > s.deficit[l[most].Service] {
+		deficit := s.deficit[p.Service]
+		if most < 0 || deficit > s.deficit[l[most].Service] {
 			most = i
 		}
-		if p.Local && owed > 1-slack && (local < 0 || owed > s.deficit[l[local].Service]) {
+		if p.Local && deficit > 1-slack && (local < 0 || deficit > s.deficit[l[local].Service]) {
 			local = i
 		}
 	}
--- a/core/choice/split_test.go
+++ b/core/choice/split_test.go
@@ -45,20 +45,20 @@
 // quarter of the requests have a local owner. A part with a quarter of the weight should get mostly those.
 func TestSplitPrefersLocalServers(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	s, crossed, keyed := Splitter{}, 0, 0
+	s, crossDomain, keyed := Splitter{}, 0, 0
 	for range 4000 {
-		near := r.IntN(4) == 0
-		if s.Pick([]Part{{Service: "keyed", Weight: 1, Local: near}, {Service: "plain", Weight: 3, Local: true}}, 9) != "keyed" {
+		local := r.IntN(4) == 0
+		if s.Pick([]Part{{Service: "keyed", Weight: 1, Local: local}, {Service: "plain", Weight: 3, Local: true}}, 9) != "keyed" {
 			continue
 		}
 		keyed++
-		if !near {
-			crossed++
+		if !local {
+			crossDomain++
 		}
 	}
-	t.Logf("%d requests to the keyed part, %d of them cross-domain", keyed, crossed)
+	t.Logf("%d requests to the keyed part, %d of them cross-domain", keyed, crossDomain)
 	require.InDelta(t, 1000, keyed, 20)
-	require.Less(t, float64(crossed), 0.3*float64(keyed))
+	require.Less(t, float64(crossDomain), 0.3*float64(keyed))
 }
 
 // Covers splits that operators may configure by mistake.
--- a/core/elect/elect.go
+++ b/core/elect/elect.go
@@ -1,8 +1,8 @@
 // Package elect decides when a daemon takes over as the coordinator of its site.
 //
-// The store lets only one of several that try at once succeed, and an order of a coordinator that doesn't know yet that
-// it was followed bears a lower fence than its successor's. So taking over too early costs calls and a round of orders,
-// and too late costs the time for which no key can move.
+// The store lets only one of several concurrent takeovers succeed, and the orders of a replaced coordinator carry a
+// lower fence than its successor's. A takeover that is too early costs calls and a round of orders. One that is too
+// late costs the time in which no key can move.
 package elect
 
 import (
@@ -16,19 +16,22 @@
 )
 
 const (
-	// startupGrace is how long a daemon of a site that starts for the first time waits for the rows of the others, which start
-	// within 0.3 s: the ablest is to be the coordinator.
+	// startupGrace is how long a daemon of a new site waits for the rows of the others, which start within 0.3 s. The
+	// daemon with the highest capacity should become the coordinator.
 	startupGrace = 600 * time.Millisecond
 
-	// NoQuorumTimeout is how long the coordinator must have been silent for a daemon to take over without a quorum. It is longer than cuts between failure domains usually last: taken over from the smaller side, the
-	// coordinator of the larger one would be pushed out. A coordinator that lost the support of most goes without orders as
-	// long: nobody else can have that support either before the others are back.
+	// NoQuorumTimeout is the time without contact with the coordinator after which a daemon takes over without a quorum.
+	// It exceeds the usual length of partitions between failure domains; a shorter time would let the smaller side
+	// replace the coordinator of the larger one. A coordinator that loses its quorum sends no orders for the same
+	// time, since no other daemon can have that quorum before the lost voters are back.
 	NoQuorumTimeout = 8 * time.Second
 
-	// rankStep is the time between one candidate and the next: one that has taken over is heard of within it.
+	// rankStep is the delay between one candidate and the next. The row of a new coordinator reaches the others within
+	// this time.
 	rankStep = 250 * time.Millisecond
 
-	// maxCopyAge is how old a candidate's copy of the store may be: one that doesn't reach the store can't take over.
+	// maxCopyAge is the greatest age of a candidate's copy of the store. A daemon that cannot reach the store cannot
+	// take over.
 	maxCopyAge = time.Second
 )
 
@@ -38,33 +41,35 @@
 	Incarnation  ident.Incarnation
 	Leaving      bool
 	Snapshot     *site.Snapshot
-	CopyAge      time.Duration // age of its copy of the store
-	SinceContact time.Duration // since the coordinator was heard of
-	SinceLoaded  time.Duration // since the copy was first whole
+	CopyAge      time.Duration // age of the daemon's copy of the store
+	SinceContact time.Duration // since the last contact with the coordinator
+	SinceLoaded  time.Duration // since the copy was first complete
 }
 
-// IsCoordinator reports whether this life of the daemon is the coordinator.
+// IsCoordinator reports whether this incarnation of the daemon is the coordinator.
 func (s *State) IsCoordinator() bool {
 	c := s.Snapshot.Coordinator
 	return c.Daemon == s.Self && c.Incarnation == s.Incarnation
 }
 
-// Decision is what to do about the coordinator's turn: Wait, Ask or Take.
+// Decision is Wait, RequestWithdrawals or TakeOver.
 type Decision interface {
 	decision()
 }
 
 type (
-	// Wait says that it is not this daemon's turn.
+	// Wait means that this daemon does not take over now.
 	Wait struct{}
 
-	// RequestWithdrawals says to ask the voters to withdraw their support of the coordinator, and to take over once a quorum has. Until
-	// then others hear of it, and it would only be pushed out by a daemon that is cut off from it. Clean says that the
-	// coordinator has surely stopped then; one that goes on without support hasn't.
+	// RequestWithdrawals means to ask the voters to withdraw their support of the coordinator, and to take over once a
+	// quorum has. Without a quorum others still have contact with it, and a takeover would only replace a coordinator
+	// that this daemon is cut off from. Clean means that the coordinator has then stopped for certain; one that runs
+	// without a quorum has not.
 	RequestWithdrawals struct{ Clean bool }
 
-	// TakeOver says to take over now. With Clean the coordinator before has surely stopped. WithoutQuorum says that too many
-	// voters are lost to tell: then this one's orders rest on the store's transaction only.
+	// TakeOver means to take over now. Clean means that the previous coordinator has stopped for certain.
+	// WithoutQuorum means that too many voters are lost to know; then only the store's transaction protects the orders
+	// of the new coordinator.
 	TakeOver struct {
 		Clean, WithoutQuorum bool
 	}
@@ -74,30 +79,30 @@
 func (RequestWithdrawals) decision() {}
 func (TakeOver) decision()           {}
 
-// Decide returns what to do now.
+// Decide returns what this daemon should do now.
 func (s *State) Decide() Decision {
 	if s.IsCoordinator() || s.Leaving || s.CopyAge > maxCopyAge {
 		return Wait{}
 	}
 	c := s.Snapshot.Coordinator
 	if c.Daemon == s.Self {
-		return TakeOver{Clean: true} // that was an earlier life of this daemon
+		return TakeOver{Clean: true} // an earlier incarnation of this daemon
 	}
 	wait := rankDelay(s.rank())
 	if c.Daemon == "" && c.Term == 0 {
 		return takeOverIf(s.SinceLoaded >= startupGrace+wait, TakeOver{Clean: true})
 	}
 	if c.Daemon == "" {
-		return takeOverIf(s.SinceLoaded >= wait && s.SinceContact >= wait, TakeOver{Clean: true}) // the last one has stopped by itself
+		return takeOverIf(s.SinceLoaded >= wait && s.SinceContact >= wait, TakeOver{Clean: true}) // the previous coordinator has handed over
 	}
 	if d := s.Snapshot.Daemons[c.Daemon]; d != nil && d.Incarnation != c.Incarnation {
-		return takeOverIf(s.SinceLoaded >= wait && s.SinceContact >= wait, TakeOver{Clean: true}) // it has started again, and would take over itself
+		return takeOverIf(s.SinceLoaded >= wait && s.SinceContact >= wait, TakeOver{Clean: true}) // it was restarted, and would take over itself
 	}
-	silent := min(s.SinceContact, s.SinceLoaded)
+	unresponsive := min(s.SinceContact, s.SinceLoaded)
 	switch {
-	case silent >= NoQuorumTimeout+wait:
+	case unresponsive >= NoQuorumTimeout+wait:
 		return TakeOver{WithoutQuorum: true}
-	case s.isVoter(s.Self) && silent >= contactTimeout(s.Snapshot)+wait:
+	case s.isVoter(s.Self) && unresponsive >= contactTimeout(s.Snapshot)+wait:
 		return RequestWithdrawals{Clean: !c.WithoutQuorum}
 	}
 	return Wait{}
@@ -110,7 +115,7 @@
 	return Wait{}
 }
 
-// TopCandidate returns the daemon that comes first as a candidate, or none in a site without daemons.
+// TopCandidate returns the daemon that ranks highest as a candidate, or "" if the site has no daemons.
 func TopCandidate(s *site.Snapshot) ident.Daemon {
 	x := State{Snapshot: s}
 	var first ident.Daemon
@@ -122,9 +127,9 @@
 	return first
 }
 
-// rank returns how many other daemons come first as candidates: the voters, then the abler ones, and of those alike the
-// ones with a higher score. The coordinator serves all daemons and sends all orders, which a host with a sixth of a core
-// can't in a site of eighty.
+// rank returns how many other daemons are preferred as candidates: voters first, then higher capacity, then higher
+// score. The coordinator serves all daemons and sends all orders. A host with a sixth of a core cannot do that in a
+// site of eighty.
 func (s *State) rank() int {
 	self, n := s.candidate(s.Self), 0
 	for d := range s.Snapshot.Daemons {
@@ -135,12 +140,12 @@
 	return n
 }
 
-// isVoter reports whether the daemon is one of the voters; where none are known, all are.
+// isVoter reports whether the daemon is a voter; if no voters are known, all daemons are.
 func (s *State) isVoter(d ident.Daemon) bool {
 	return len(s.Snapshot.Voters) == 0 || slices.Contains(s.Snapshot.Voters, d)
 }
 
-// candidate is what ranks a daemon among those that may take over.
+// candidate is the sort key of a daemon among the candidates.
 type candidate struct {
 	voter    int
 	capacity int
@@ -164,8 +169,9 @@
 	return cmp.Or(cmp.Compare(x.voter, y.voter), cmp.Compare(x.capacity, y.capacity), cmp.Compare(x.score, y.score))
 }
 
-// rankDelay returns how long a candidate leaves the turn to those before it. Beyond maxRank the steps are short: a failure
-// domain that is lost takes many candidates with it, and yet hundreds of daemons may not write at the same moment.
+// rankDelay returns how long a candidate waits for the preferred ones to take over. Steps after maxFullSteps are
+// short, since the loss of a failure domain removes many candidates. They are not zero, since hundreds of daemons must
+// not write at the same moment.
 func rankDelay(rank int) time.Duration {
 	return rankStep*time.Duration(min(rank, maxFullSteps)) + farRankStep*time.Duration(max(0, rank-maxFullSteps))
 }
--- a/core/elect/support.go
+++ b/core/elect/support.go
@@ -8,34 +8,37 @@
 	"heatherrouter/core/site"
 )
 
-// A coordinator sends orders only while a quorum of the voters supports it. Each of its answers renews a voter's promise not
-// to help a successor for PromiseTime. The coordinator counts the promise from when it sent the answer, once the voter has
-// confirmed it, and so stops before the promise ends. A successor needs a quorum of voters that have withdrawn their
-// support for good. Then it knows that the last coordinator sends nothing any more, and needn't wait 30 s for its leave to
-// lapse. A daemon that is merely cut off from the coordinator gets no quorum, and leaves it in place.
+// A coordinator sends orders only while it has the support of a quorum of the voters. Each of its answers renews a
+// voter's promise not to support a successor for PromiseDuration. The coordinator counts the promise from when it sent
+// the answer, once the voter has confirmed it, and so stops before the promise ends. A successor needs a quorum of
+// voters that have withdrawn their support for good. It then knows that the previous coordinator sends no more orders,
+// and need not wait until the 30 s in which a coordinator may send orders have passed. A daemon that is only cut off from
+// the coordinator gets no quorum and does not replace it.
 //
-// Promises are kept in memory only. A daemon that has just started withdraws nothing until the longest promise of an earlier
-// life has ended. One that withdrew and started again has forgotten it: so a successor's transaction expects the rows of
-// those that withdrew to be of the same lives, and a daemon promises nothing before it has written its row and read what came
-// before that. Any two quorums of the same voters overlap. The voters stand in the coordinator's row, which a successor's
-// transaction expects unchanged; a coordinator that replaces them needs a quorum of both sets until it knows which of them
-// the row names.
+// Promises are kept in memory only. A daemon that has just started withdraws nothing until the longest promise of an
+// earlier incarnation has ended. A daemon that withdrew and restarted has lost its withdrawal. A successor's
+// transaction therefore expects the rows of the daemons that withdrew to be of the same incarnations. A daemon
+// promises nothing before it has written its row and read all earlier changes.
+//
+// Any two quorums of the same voters overlap. The voters are stored in the coordinator's row, which a successor's
+// transaction expects unchanged. A coordinator that replaces voters needs a quorum of both sets until it knows which
+// of them the row contains.
 
 const (
-	// minSyncWait and maxSync bound how often a daemon asks the coordinator.
+	// minSyncWait and maxSyncWait bound the time for which the coordinator holds a daemon's request open.
 	minSyncWait       = 400 * time.Millisecond
 	maxSyncWait       = 1000 * time.Millisecond
-	syncWaitPerDaemon = 10 * time.Millisecond // for each daemon of the site
+	syncWaitPerDaemon = 10 * time.Millisecond // for each daemon that syncs
 
-	// answerLatency is how long an answer may take beyond its wait.
+	// answerLatency is how long an answer may take in addition to its wait.
 	answerLatency = 300 * time.Millisecond
 
-	// longestPromise is that of the largest site.
+	// longestPromise is the promise duration of the largest site.
 	longestPromise = 3 * maxSyncWait
 )
 
-// SyncWait returns how long the coordinator holds an answer to the daemon back without news. Voters ask more often than
-// the rest of a large site: how soon a lost coordinator can be followed depends on them alone.
+// SyncWait returns how long the coordinator delays an answer to the daemon while it has no changes. Voters sync more
+// often than other daemons of a large site, since they alone determine how soon a lost coordinator is replaced.
 func SyncWait(s *site.Snapshot, d ident.Daemon) time.Duration {
 	if slices.Contains(s.Voters, d) {
 		return syncWait(len(s.Voters))
@@ -47,18 +50,18 @@
 	return min(maxSyncWait, max(minSyncWait, time.Duration(daemons)*syncWaitPerDaemon))
 }
 
-// PromiseDuration returns for how long the promise of a voter holds: two answers may be lost.
+// PromiseDuration returns how long a voter's promise holds. Two answers may be lost within it.
 func PromiseDuration(s *site.Snapshot) time.Duration {
 	return 3 * syncWait(voterCount(s))
 }
 
-// contactTimeout is how long the coordinator may not be heard of by a voter: one answer may be lost. Another has the support of a
-// quorum 1.5 s after a loss; grants last 3 s and were renewed 0.9 s ago at worst.
+// contactTimeout returns how long a voter may be without contact with the coordinator. One answer may be lost within it.
+// A successor has the support of a quorum 1.5 s after a loss; grants last 3 s and were renewed at most 0.9 s before.
 func contactTimeout(s *site.Snapshot) time.Duration {
 	return syncWait(voterCount(s)) + 2*answerLatency
 }
 
-// voterCount returns how many daemons have a vote: all where none are named.
+// voterCount returns the number of voters; if none are known, all daemons are.
 func voterCount(s *site.Snapshot) int {
 	if len(s.Voters) > 0 {
 		return len(s.Voters)
@@ -66,16 +69,17 @@
 	return len(s.Daemons)
 }
 
-// Promise is what one daemon has promised. Times are of its own clock, which counts the suspensions of its host.
+// Promise is the promise of one daemon. Times are of its own clock, which also advances while its host is suspended.
 type Promise struct {
-	StartedAt time.Duration
+	StartedAt time.Duration // start of this incarnation
 
 	term      site.Term
 	until     time.Duration
-	withdrawn site.Term // coordinators up to this term are not supported any more
+	withdrawn site.Term // support is withdrawn for all terms up to this one
 }
 
-// Renew promises support for a time to the coordinator of the term, unless that was withdrawn.
+// Renew promises support to the coordinator of the term until now+d. It reports false if that support was withdrawn, a
+// later term was promised, or d exceeds the longest promise.
 func (p *Promise) Renew(now time.Duration, t site.Term, d time.Duration) bool {
 	if t <= p.withdrawn || t < p.term || d > longestPromise {
 		return false
@@ -84,10 +88,11 @@
 	return true
 }
 
-// Withdraw ends the support of coordinators up to the term, for good; it reports whether it could.
+// Withdraw ends the support of all coordinators up to the term for good. It reports false while a promise still holds
+// or may hold.
 func (p *Promise) Withdraw(now time.Duration, t site.Term) bool {
 	if now < p.StartedAt+longestPromise {
-		return false // an earlier life may have promised
+		return false // an earlier incarnation may have promised
 	}
 	if p.term <= t && now < p.until {
 		return false
@@ -96,19 +101,20 @@
 	return true
 }
 
-// Support is what a coordinator knows of the promises to it, by its own clock.
+// Support is the coordinator's record of the promises made to it, by its own clock.
 type Support struct {
 	until map[ident.Daemon]time.Duration
 	seen  map[ident.Daemon]firstSeen
 }
 
-// firstSeen is when a life of a daemon was first known to the coordinator.
+// firstSeen is when the coordinator first saw an incarnation of a daemon.
 type firstSeen struct {
 	incarnation ident.Incarnation
 	at          time.Duration
 }
 
-// Confirm takes in that a daemon has received an answer that was sent at the time, and promised support from then on.
+// Confirm records that a daemon has received the answer sent at the given time, and has promised support for the given
+// duration from then on.
 func (s *Support) Confirm(d ident.Daemon, sent, promised time.Duration) {
 	if s.until == nil {
 		s.until = map[ident.Daemon]time.Duration{}
@@ -116,14 +122,15 @@
 	s.until[d] = max(s.until[d], sent+promised)
 }
 
-// Reset forgets the promises to an earlier term.
+// Reset drops the promises of an earlier term.
 func (s *Support) Reset() {
 	clear(s.until)
 	clear(s.seen)
 }
 
-// HasQuorum reports whether a majority of the voters supports the coordinator, which supports itself. While voters are
-// being replaced, proposed are those that the coordinator's row may name by now, else nil: then it takes a majority of both.
+// HasQuorum reports whether a majority of the voters, including the coordinator itself, supports the coordinator.
+// While voters are being replaced, proposed is the set that the coordinator's row may already contain, and a majority
+// of both sets is needed. Otherwise proposed is nil.
 func (s *Support) HasQuorum(now time.Duration, self ident.Daemon, voters, proposed []ident.Daemon) bool {
 	return s.hasMajority(now, self, voters) && (proposed == nil || s.hasMajority(now, self, proposed))
 }
@@ -138,9 +145,10 @@
 	return IsQuorum(n, len(voters))
 }
 
-// WithoutContact returns the daemons that have confirmed nothing for so long, the coordinator itself left out. The time counts from
-// when the coordinator began or first knew of the daemon's life: one that has just started has had no chance yet.
-func (s *Support) WithoutContact(now, began, d time.Duration, self ident.Daemon, daemons map[ident.Daemon]*site.Daemon) []ident.Daemon {
+// Unresponsive returns the daemons other than the coordinator that have confirmed nothing for d. The time counts
+// from the start of the term or from when the coordinator first saw the daemon's incarnation, since a daemon that has
+// just started could not confirm anything yet.
+func (s *Support) Unresponsive(now, began, d time.Duration, self ident.Daemon, daemons map[ident.Daemon]*site.Daemon) []ident.Daemon {
 	if s.seen == nil {
 		s.seen = map[ident.Daemon]firstSeen{}
 	}
@@ -150,7 +158,7 @@
 		if !known || first.incarnation != x.Incarnation {
 			first = firstSeen{incarnation: x.Incarnation, at: now}
 			if !known && s.until[n] > 0 {
-				first.at = began // it confirmed something before it was first looked at
+				first.at = began // it confirmed an answer before the first call
 			}
 			s.seen[n] = first
 		}
@@ -161,7 +169,7 @@
 	return l
 }
 
-// IsQuorum reports whether so many of the voters are a majority.
+// IsQuorum reports whether n of the voters are a majority.
 func IsQuorum(n, voters int) bool {
 	return 2*n > voters
 }
--- a/core/elect/voters.go
+++ b/core/elect/voters.go
@@ -10,17 +10,18 @@
 	"heatherrouter/core/site"
 )
 
-// MaxVoters bounds how many daemons have a vote. A takeover expects the rows of a majority of them in one transaction, and
-// each candidate asks all of them: neither may grow with the site.
+// MaxVoters bounds the number of voters. A takeover expects the rows of a majority of them in one transaction, and
+// each candidate asks all of them. Neither may grow with the site.
 const MaxVoters = 21
 
-// Voters returns the daemons that have a vote on the coordinator: all of a small site; in a large one the ablest of each
-// failure domain, as many of one domain as of another, so that any one domain may be lost. The coordinator is among them.
+// Voters returns the daemons that vote on the coordinator, sorted, with self among them. In a small site these are all
+// daemons. In a large one they are those with the highest capacity in each failure domain, spread evenly so that any
+// one domain may be lost.
 func Voters(self ident.Daemon, daemons map[ident.Daemon]*site.Daemon) []ident.Daemon {
 	return fill([]ident.Daemon{self}, daemons)
 }
 
-// ReplaceVoters returns the voters with those replaced that are no longer there, in order; it reports whether the set
+// ReplaceVoters returns the voters, sorted, with those that have left the site replaced. It reports whether the set
 // differs from the present one.
 func ReplaceVoters(self ident.Daemon, voters []ident.Daemon, daemons map[ident.Daemon]*site.Daemon) ([]ident.Daemon, bool) {
 	l := []ident.Daemon{self}
@@ -33,7 +34,7 @@
 	return l, !slices.Equal(l, slices.Sorted(slices.Values(voters)))
 }
 
-// fill adds daemons from the failure domains with the fewest voters until there are MaxVoters, and sorts them.
+// fill adds daemons from the failure domains with the fewest voters up to MaxVoters, and sorts the result.
 func fill(l []ident.Daemon, daemons map[ident.Daemon]*site.Daemon) []ident.Daemon {
 	rest := map[ident.Domain][]ident.Daemon{}
 	votes := map[ident.Domain]int{}
--- a/core/elect/voters_test.go
+++ b/core/elect/voters_test.go
@@ -23,7 +23,8 @@
 	return m
 }
 
-// Guards against a takeover that the store refuses for its size, and against a lost domain that takes the majority along.
+// Guards against a takeover whose transaction is too large for the store, and against the loss of one domain that
+// removes the majority.
 func TestVotersAreFewAndSpread(t *testing.T) {
 	for _, n := range []int{1, 2, 12, 30, 100, 300, 820} {
 		m := spreadDaemons(n, 6)
@@ -41,7 +42,7 @@
 	}
 }
 
-// Guards against voters drawn anew at each change of the site: each replacement is a transaction.
+// Guards against voters that are replaced on each change of the site, since each replacement is a transaction.
 func TestReplaceVotersKeepsPresentVoters(t *testing.T) {
 	m := spreadDaemons(300, 5)
 	l := Voters("d000", m)
@@ -68,7 +69,7 @@
 	require.Equal(t, MaxVoters-1, kept)
 }
 
-// Guards against hundreds of daemons that all ask all others at once after the coordinator is lost.
+// Guards against hundreds of daemons that all send requests to all others at once after the loss of the coordinator.
 func TestOnlyVotersRequestWithdrawals(t *testing.T) {
 	m := spreadDaemons(300, 5)
 	s := &site.Snapshot{Daemons: m, Coordinator: site.Coordinator{Daemon: "d000", Term: 1}, Voters: Voters("d000", m)}
@@ -87,14 +88,14 @@
 	}
 }
 
-// voterRow is the coordinator's row as the store has it.
+// voterRow is the coordinator's row in the store.
 type voterRow struct {
 	rev    int
 	voters []ident.Daemon
 	taken  bool
 }
 
-// replacement plays a coordinator that replaces its voters while another daemon collects words against it.
+// replacement simulates a coordinator that replaces its voters while another daemon collects withdrawals.
 type replacement struct {
 	r       *rand.Rand
 	names   []ident.Daemon
@@ -102,10 +103,10 @@
 	support Support
 
 	row         voterRow
-	known       voterRow       // as the coordinator has learnt it
-	proposed    []ident.Daemon // sent to the store and not known to have failed
+	known       voterRow       // last row known to the coordinator
+	proposed    []ident.Daemon // sent to the store, result unknown
 	withdrawals map[ident.Daemon]bool
-	read        voterRow // as the candidate has read it
+	read        voterRow // last row read by the candidate
 }
 
 func newReplacement(seed uint64) *replacement {
@@ -121,7 +122,7 @@
 	return p
 }
 
-// draw returns the coordinator and a few others.
+// draw returns the coordinator and two to four random other daemons.
 func (p *replacement) draw() []ident.Daemon {
 	l := []ident.Daemon{"0"}
 	for _, i := range p.r.Perm(len(p.names) - 1)[:2+p.r.IntN(3)] {
@@ -130,7 +131,7 @@
 	return l
 }
 
-// promise lets some daemons hear the coordinator.
+// promise delivers answers of the coordinator to some of the reachable daemons.
 func (p *replacement) promise(now time.Duration, reachable []ident.Daemon) {
 	for _, n := range reachable {
 		d, sent := p.daemons[n], now-time.Duration(p.r.IntN(300))*time.Millisecond
@@ -140,8 +141,8 @@
 	}
 }
 
-// replace has the coordinator propose other voters, the store carry that out at some time if the row is as expected, and
-// the coordinator learn of it at some later time.
+// replace performs one step of a replacement at random: the coordinator proposes new voters, the store writes them if
+// the row is as expected, or the coordinator learns of the result.
 func (p *replacement) replace() {
 	switch {
 	case p.proposed == nil && p.r.IntN(40) == 0:
@@ -153,7 +154,8 @@
 	}
 }
 
-// takeOver has the candidate read the row now and then, and take over once it has the words of a quorum of its voters.
+// takeOver performs one step of the candidate: it reads the row at times, collects a withdrawal, and takes over once
+// it has a quorum of the voters it has read.
 func (p *replacement) takeOver(now time.Duration) {
 	if p.r.IntN(20) == 0 {
 		p.read = p.row
@@ -162,13 +164,13 @@
 	if d := p.daemons[n]; d.promise.Withdraw(d.clock(now), 1) {
 		p.withdrawals[n] = true
 	}
-	given := 0
+	withdrawn := 0
 	for _, v := range p.read.voters {
 		if p.withdrawals[v] {
-			given++
+			withdrawn++
 		}
 	}
-	if IsQuorum(given, len(p.read.voters)) && p.read.rev == p.row.rev {
+	if IsQuorum(withdrawn, len(p.read.voters)) && p.read.rev == p.row.rev {
 		p.row.taken = true
 	}
 }
@@ -180,7 +182,7 @@
 		p := newReplacement(seed)
 		reachable := slices.Clone(p.names[1:])
 		for now := 10 * time.Second; now < 25*time.Second; now += 20 * time.Millisecond {
-			if p.r.IntN(80) == 0 { // others are cut off
+			if p.r.IntN(80) == 0 { // a different set becomes unreachable
 				p.r.Shuffle(len(reachable), func(i, j int) { reachable[i], reachable[j] = reachable[j], reachable[i] })
 			}
 			p.promise(now, reachable[:len(reachable)/2])
@@ -195,7 +197,7 @@
 	require.Positive(t, taken)
 }
 
-// Guards against keys that lapse everywhere before a lost coordinator of a large site is followed.
+// Guards against grants that expire everywhere before a lost coordinator of a large site is replaced.
 func TestLostCoordinatorReplacedBeforeGrantsExpire(t *testing.T) {
 	const grants, renewed = 3 * time.Second, 900 * time.Millisecond
 	for _, n := range []int{3, 12, 82, 300, 820} {
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -315,7 +315,7 @@
 func (f *Feed) Silent(began, d time.Duration) []ident.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.support.WithoutContact(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
+	return f.support.Unresponsive(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
 }
 
 // Withdraw gives the word that this daemon doesn't support coordinators up to the term any more, if it can.
