--- a/core/choice/subset.go
+++ b/core/choice/subset.go
@@ -7,8 +7,8 @@
 const SubsetSize = 4
 
 // Subset returns the indices of the servers that the daemon at the given place normally sends to. All daemons must
-// order the servers alike. The numbers of daemons per server differ by at most one, so that the daemons together load
-// the servers evenly.
+// order the servers alike. The number of daemons per server deviates by at most one from the mean,
+// so that the daemons together load the servers evenly.
 func Subset(servers, daemons, place int) []int {
 	n := min(servers, SubsetSize)
 	l := make([]int, 0, n)
