--- a/core/elect/voters_test.go
+++ b/core/elect/voters_test.go
@@ -14,7 +14,7 @@
 	"heatherrouter/core/site"
 )
 
-func domains(daemons, domains int) map[ident.Daemon]*site.Daemon {
+func spreadDaemons(daemons, domains int) map[ident.Daemon]*site.Daemon {
 	m := map[ident.Daemon]*site.Daemon{}
 	for i := range daemons {
 		d := ident.Daemon(fmt.Sprintf("d%03d", i))
@@ -23,10 +23,11 @@
 	return m
 }
 
-// Guards against a takeover that the store refuses for its size, and against a lost domain that takes the majority along.
+// Guards against a takeover whose transaction is too large for the store, and against the loss of one domain that
+// removes the majority.
 func TestVotersAreFewAndSpread(t *testing.T) {
 	for _, n := range []int{1, 2, 12, 30, 100, 300, 820} {
-		m := domains(n, 6)
+		m := spreadDaemons(n, 6)
 		l := Voters("d000", m)
 		require.Len(t, l, min(n, MaxVoters))
 		require.Contains(t, l, ident.Daemon("d000"))
@@ -41,9 +42,9 @@
 	}
 }
 
-// Guards against voters drawn anew at each change of the site: each replacement is a transaction.
-func TestVotersStay(t *testing.T) {
-	m := domains(300, 5)
+// Guards against voters that are replaced on each change of the site, since each replacement is a transaction.
+func TestReplaceVotersKeepsPresentVoters(t *testing.T) {
+	m := spreadDaemons(300, 5)
 	l := Voters("d000", m)
 	for d := range maps.Clone(m) {
 		if !slices.Contains(l, d) && len(m) > 200 {
@@ -68,17 +69,17 @@
 	require.Equal(t, MaxVoters-1, kept)
 }
 
-// Guards against hundreds of daemons that all ask all others at once after the coordinator is lost.
-func TestOnlyVotersAsk(t *testing.T) {
-	m := domains(300, 5)
+// Guards against hundreds of daemons that all send requests to all others at once after the loss of the coordinator.
+func TestOnlyVotersRequestWithdrawals(t *testing.T) {
+	m := spreadDaemons(300, 5)
 	s := &site.Snapshot{Daemons: m, Coordinator: site.Coordinator{Daemon: "d000", Term: 1}, Voters: Voters("d000", m)}
 	asking, late := 0, map[time.Duration]int{}
 	for d := range m {
-		x := State{Self: d, Snapshot: s, Heard: 6 * time.Second, Known: time.Hour}
-		if _, ok := x.Decide().(Ask); ok {
+		x := State{Self: d, Snapshot: s, SinceContact: 6 * time.Second, SinceLoaded: time.Hour}
+		if _, ok := x.Decide().(RequestWithdrawals); ok {
 			asking++
 		}
-		late[wait(x.rank())]++
+		late[rankDelay(x.rank())]++
 	}
 	require.LessOrEqual(t, asking, MaxVoters)
 	require.Greater(t, asking, MaxVoters/2)
@@ -87,42 +88,42 @@
 	}
 }
 
-// voterRow is the coordinator's row as the store has it.
+// voterRow is the coordinator's row in the store.
 type voterRow struct {
 	rev    int
 	voters []ident.Daemon
 	taken  bool
 }
 
-// replacing plays a coordinator that replaces its voters while another daemon collects words against it.
-type replacing struct {
+// replacement simulates a coordinator that replaces its voters while another daemon collects withdrawals.
+type replacement struct {
 	r       *rand.Rand
 	names   []ident.Daemon
-	daemons map[ident.Daemon]*daemonAt
+	daemons map[ident.Daemon]*simDaemon
 	support Support
 
-	row      voterRow
-	known    voterRow       // as the coordinator has learnt it
-	proposed []ident.Daemon // sent to the store and not known to have failed
-	words    map[ident.Daemon]bool
-	read     voterRow // as the candidate has read it
+	row         voterRow
+	known       voterRow       // last row known to the coordinator
+	proposed    []ident.Daemon // sent to the store, result unknown
+	withdrawals map[ident.Daemon]bool
+	read        voterRow // last row read by the candidate
 }
 
-func newReplacing(seed uint64) *replacing {
-	p := &replacing{r: rand.New(rand.NewPCG(seed, 11)), daemons: map[ident.Daemon]*daemonAt{}, words: map[ident.Daemon]bool{}}
+func newReplacement(seed uint64) *replacement {
+	p := &replacement{r: rand.New(rand.NewPCG(seed, 11)), daemons: map[ident.Daemon]*simDaemon{}, withdrawals: map[ident.Daemon]bool{}}
 	n := 6 + p.r.IntN(6)
 	for i := range n {
 		d := ident.Daemon(fmt.Sprint(i))
 		p.names = append(p.names, d)
-		p.daemons[d] = &daemonAt{offset: time.Duration(p.r.IntN(1000)) * time.Second, rate: 0.999 + 0.002*p.r.Float64()}
+		p.daemons[d] = &simDaemon{offset: time.Duration(p.r.IntN(1000)) * time.Second, rate: 0.999 + 0.002*p.r.Float64()}
 	}
 	p.row = voterRow{rev: 1, voters: p.draw()}
 	p.known, p.read = p.row, p.row
 	return p
 }
 
-// draw returns the coordinator and a few others.
-func (p *replacing) draw() []ident.Daemon {
+// draw returns the coordinator and two to four random other daemons.
+func (p *replacement) draw() []ident.Daemon {
 	l := []ident.Daemon{"0"}
 	for _, i := range p.r.Perm(len(p.names) - 1)[:2+p.r.IntN(3)] {
 		l = append(l, p.names[i+1])
@@ -130,19 +131,19 @@
 	return l
 }
 
-// promise lets some daemons hear the coordinator.
-func (p *replacing) promise(now time.Duration, heard []ident.Daemon) {
-	for _, n := range heard {
+// promise delivers answers of the coordinator to some of the reachable daemons.
+func (p *replacement) promise(now time.Duration, reachable []ident.Daemon) {
+	for _, n := range reachable {
 		d, sent := p.daemons[n], now-time.Duration(p.r.IntN(300))*time.Millisecond
-		if p.r.IntN(10) == 0 && d.promise.Renew(d.clock(now), 1, promiseTime) {
-			p.support.Confirmed(n, sent, promiseTime*99/100)
+		if p.r.IntN(10) == 0 && d.promise.Renew(d.clock(now), 1, promiseDuration) {
+			p.support.Confirm(n, sent, promiseDuration*99/100)
 		}
 	}
 }
 
-// replace has the coordinator propose other voters, the store carry that out at some time if the row is as expected, and
-// the coordinator learn of it at some later time.
-func (p *replacing) replace() {
+// replace performs one step of a replacement at random: the coordinator proposes new voters, the store writes them if
+// the row is as expected, or the coordinator learns of the result.
+func (p *replacement) replace() {
 	switch {
 	case p.proposed == nil && p.r.IntN(40) == 0:
 		p.proposed = p.draw()
@@ -153,22 +154,23 @@
 	}
 }
 
-// takeOver has the candidate read the row now and then, and take over once it has the words of a quorum of its voters.
-func (p *replacing) takeOver(now time.Duration) {
+// takeOver performs one step of the candidate: it reads the row at times, collects a withdrawal, and takes over once
+// it has a quorum of the voters it has read.
+func (p *replacement) takeOver(now time.Duration) {
 	if p.r.IntN(20) == 0 {
 		p.read = p.row
 	}
 	n := p.names[1+p.r.IntN(len(p.names)-1)]
 	if d := p.daemons[n]; d.promise.Withdraw(d.clock(now), 1) {
-		p.words[n] = true
+		p.withdrawals[n] = true
 	}
-	given := 0
+	withdrawn := 0
 	for _, v := range p.read.voters {
-		if p.words[v] {
-			given++
+		if p.withdrawals[v] {
+			withdrawn++
 		}
 	}
-	if IsQuorum(given, len(p.read.voters)) && p.read.rev == p.row.rev {
+	if IsQuorum(withdrawn, len(p.read.voters)) && p.read.rev == p.row.rev {
 		p.row.taken = true
 	}
 }
@@ -177,13 +179,13 @@
 func TestOneCoordinatorWhileVotersAreReplaced(t *testing.T) {
 	taken := 0
 	for seed := range uint64(600) {
-		p := newReplacing(seed)
-		heard := slices.Clone(p.names[1:])
+		p := newReplacement(seed)
+		reachable := slices.Clone(p.names[1:])
 		for now := 10 * time.Second; now < 25*time.Second; now += 20 * time.Millisecond {
-			if p.r.IntN(80) == 0 { // others are cut off
-				p.r.Shuffle(len(heard), func(i, j int) { heard[i], heard[j] = heard[j], heard[i] })
+			if p.r.IntN(80) == 0 { // a different set becomes unreachable
+				p.r.Shuffle(len(reachable), func(i, j int) { reachable[i], reachable[j] = reachable[j], reachable[i] })
 			}
-			p.promise(now, heard[:len(heard)/2])
+			p.promise(now, reachable[:len(reachable)/2])
 			p.replace()
 			p.takeOver(now)
 			if p.row.taken {
@@ -195,11 +197,11 @@
 	require.Positive(t, taken)
 }
 
-// Guards against keys that lapse everywhere before a lost coordinator of a large site is followed.
-func TestLostCoordinatorIsFollowedBeforeGrantsLapse(t *testing.T) {
+// Guards against grants that expire everywhere before a lost coordinator of a large site is replaced.
+func TestLostCoordinatorReplacedBeforeGrantsExpire(t *testing.T) {
 	const grants, renewed = 3 * time.Second, 900 * time.Millisecond
 	for _, n := range []int{3, 12, 82, 300, 820} {
-		m := domains(n, 6)
+		m := spreadDaemons(n, 6)
 		s := &site.Snapshot{Daemons: m, Coordinator: site.Coordinator{Daemon: "d000", Term: 1}, Voters: Voters("d000", m)}
 		var voter ident.Daemon
 		for _, v := range s.Voters {
@@ -207,8 +209,8 @@
 				voter = v
 			}
 		}
-		require.LessOrEqual(t, silence(s), grants-renewed, "%d daemons", n)
-		require.LessOrEqual(t, PromiseTime(s), grants-renewed, "%d daemons", n)
-		require.IsType(t, Ask{}, (&State{Self: voter, Snapshot: s, Heard: grants - renewed, Known: time.Hour}).Decide())
+		require.LessOrEqual(t, contactTimeout(s), grants-renewed, "%d daemons", n)
+		require.LessOrEqual(t, PromiseDuration(s), grants-renewed, "%d daemons", n)
+		require.IsType(t, RequestWithdrawals{}, (&State{Self: voter, Snapshot: s, SinceContact: grants - renewed, SinceLoaded: time.Hour}).Decide())
 	}
 }
--- a/core/hold/admit.go
+++ b/core/hold/admit.go
@@ -65,7 +65,7 @@
 
 // capacity returns the requests per second that the target can serve without most of them being late.
 func (p *planner) capacity(i int) float64 {
-	return capacityFactor * float64(max(1, p.targets[i].Slots)) / (p.serviceTimes[i] * choice.Disturbed * meanToMedian)
+	return capacityFactor * float64(max(1, p.targets[i].Slots)) / (p.serviceTimes[i] * choice.MeanInterference * meanToMedian)
 }
 
 // admittedShares divides the capacity of a target among its hottest buckets and all its other keys (max-min fairness):
--- a/core/hold/admit_test.go
+++ b/core/hold/admit_test.go
@@ -42,7 +42,7 @@
 	all := targets(200 * time.Millisecond)
 	r := make(Rates, Keys/BucketKeys)
 	for i := range r {
-		r[i] = 2 * capacityFactor * 3 / (0.2 * choice.Disturbed * meanToMedian) / float64(len(r))
+		r[i] = 2 * capacityFactor * 3 / (0.2 * choice.MeanInterference * meanToMedian) / float64(len(r))
 	}
 	l := []Hold{{Range: Range{First: 0, Last: 65535}, Server: "s0"}}
 	next := Admit(l, all, r)
@@ -68,5 +68,5 @@
 			sent += r[b] * share
 		}
 	}
-	require.InDelta(t, capacityFactor*3/(0.2*choice.Disturbed*meanToMedian), sent, 2)
+	require.InDelta(t, capacityFactor*3/(0.2*choice.MeanInterference*meanToMedian), sent, 2)
 }
--- a/core/hold/balance.go
+++ b/core/hold/balance.go
@@ -205,7 +205,7 @@
 
 // newRangeRate returns the requests per second that an average server without load can take on without delay.
 func (p *planner) newRangeRate() float64 {
-	return newRangeFill * float64(max(1, p.targets[0].Slots)) / (p.meanServiceTime * choice.Disturbed)
+	return newRangeFill * float64(max(1, p.targets[0].Slots)) / (p.meanServiceTime * choice.MeanInterference)
 }
 
 // hotShare is the fraction of a server's load from which a single bucket is cut out of the middle of a range.
--- a/core/hold/plan.go
+++ b/core/hold/plan.go
@@ -173,7 +173,7 @@
 
 // utilisation returns the fraction of the target's slots that the load occupies.
 func (p *planner) utilisation(i int, load float64) float64 {
-	return load * p.serviceTimes[i] * choice.Disturbed / float64(max(1, p.targets[i].Slots))
+	return load * p.serviceTimes[i] * choice.MeanInterference / float64(max(1, p.targets[i].Slots))
 }
 
 // saturation is the utilisation of a server's slots above which its queue only grows.
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -90,7 +90,7 @@
 		return lateReadInterval - now.Sub(f.requested[t])
 	case t == store.Control:
 		return startReadInterval - now.Sub(f.requested[t])
-	case f.rereadAtStart() && elect.First(f.snapshot) == f.o.Self:
+	case f.rereadAtStart() && elect.TopCandidate(f.snapshot) == f.o.Self:
 		return 0 // it is about to become the coordinator and needs a configuration first
 	default:
 		return startLimit - now.Sub(f.started)
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -133,7 +133,7 @@
 // New returns a Feed with an empty copy.
 func New(o Options) *Feed {
 	f := &Feed{
-		o: o, changed: make(chan struct{}), coordinatorSeen: o.Clock.Now(), siteSeen: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{Started: o.Clock.Boot()},
+		o: o, changed: make(chan struct{}), coordinatorSeen: o.Clock.Now(), siteSeen: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{StartedAt: o.Clock.Boot()},
 		sources: source.New(o.Self, rand.IntN),
 		snapshot: (&site.Snapshot{
 			Servers: map[ident.Server]*site.Server{}, Evacuated: map[ident.Domain]bool{}, Daemons: map[ident.Daemon]*site.Daemon{},
@@ -326,7 +326,7 @@
 func (f *Feed) Silent(began, d time.Duration) []ident.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.support.Silent(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
+	return f.support.Unresponsive(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
 }
 
 // Withdraw ends this daemon's support for coordinators up to the term. It reports false when support can't be withdrawn.
--- a/io/feed/sync.go
+++ b/io/feed/sync.go
@@ -284,7 +284,7 @@
 	if x.GetStamp() > 0 && site.Term(x.GetTerm()) == f.snapshot.Coordinator.Term && f.leads() {
 		// The peer promised the duration in the earlier answer. It differs from the current one only after the site has just grown
 		// or shrunk.
-		f.support.Confirmed(from, time.Duration(x.GetStamp()), duration(x.GetPromiseUs())) //nolint:gosec // a stamp of this process
+		f.support.Confirm(from, time.Duration(x.GetStamp()), duration(x.GetPromiseUs())) //nolint:gosec // a stamp of this process
 	}
 }
 
@@ -311,7 +311,7 @@
 			r.ReachedAgeUs = 0 // without a quorum this coordinator may be isolated together with the daemons that still call it
 		}
 		r.Stamp = uint64(f.o.Clock.Boot()) //nolint:gosec // time since the start of the host
-		r.PromiseUs = micros(elect.PromiseTime(f.snapshot))
+		r.PromiseUs = micros(elect.PromiseDuration(f.snapshot))
 	}
 	if peer := decodeStamp(x.GetHolds()); f.holds != nil && peer.Before(f.holds.Stamp) {
 		var err error
--- a/io/grant/elect.go
+++ b/io/grant/elect.go
@@ -19,9 +19,9 @@
 // coordinator's row must have been read before the snapshot: the transaction then fails if voters were replaced in between.
 func (g *Granter) applyDecision(c context.Context, row store.Row, s *site.Snapshot, d elect.Decision) bool {
 	switch x := d.(type) {
-	case elect.Ask:
-		return g.requestWithdrawals(s) && g.takeOver(c, row.Rev, s, elect.Take{Clean: x.Clean})
-	case elect.Take:
+	case elect.RequestWithdrawals:
+		return g.requestWithdrawals(s) && g.takeOver(c, row.Rev, s, elect.TakeOver{Clean: x.Clean})
+	case elect.TakeOver:
 		clear(g.withdrawnRows)
 		return g.takeOver(c, row.Rev, s, x)
 	}
@@ -33,7 +33,7 @@
 const takeOverRetryDelay = 250 * time.Millisecond
 
 // takeOver writes this daemon to the store as the successor of the coordinator in the row of revision rev.
-func (g *Granter) takeOver(c context.Context, rev store.Rev, s *site.Snapshot, t elect.Take) bool {
+func (g *Granter) takeOver(c context.Context, rev store.Rev, s *site.Snapshot, t elect.TakeOver) bool {
 	now := g.o.Clock.Now()
 	if now.Before(g.nextTakeOver) {
 		return false
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -218,9 +218,9 @@
 	s := g.o.Feed.Snapshot()
 	copyAge, contactAge := g.o.Feed.Ages()
 	st := elect.State{
-		Self: g.o.Self, Life: g.o.Incarnation, Leaving: g.leaving.Load(), Snapshot: s, Copied: copyAge, Heard: contactAge, Known: now.Sub(g.loadedAt),
+		Self: g.o.Self, Incarnation: g.o.Incarnation, Leaving: g.leaving.Load(), Snapshot: s, CopyAge: copyAge, SinceContact: contactAge, SinceLoaded: now.Sub(g.loadedAt),
 	}
-	if !st.Leads() || g.leaving.Load() && g.term == 0 {
+	if !st.IsCoordinator() || g.leaving.Load() && g.term == 0 {
 		g.endTerm()
 		if !g.applyDecision(c, row, s, st.Decide()) {
 			return now.Add(pollInterval)
--- a/io/grant/member.go
+++ b/io/grant/member.go
@@ -33,12 +33,12 @@
 		g.deleteGoneDaemons(c)
 		return true
 	}
-	if now.Sub(g.supportedAt) < elect.NoQuorumAfter {
+	if now.Sub(g.supportedAt) < elect.NoQuorumTimeout {
 		return true
 	}
 	clear(g.withdrawnRows)
 	row, _ := g.o.Feed.Row(feed.CoordinatorRow)
-	return !g.takeOver(c, row.Rev, s, elect.Take{Clean: true, WithoutQuorum: true}) // no orders were sent since support was lost
+	return !g.takeOver(c, row.Rev, s, elect.TakeOver{Clean: true, WithoutQuorum: true}) // no orders were sent since support was lost
 }
 
 // maxDeletes bounds the rows that one transaction deletes. Each row takes two entries, and the store accepts 100 entries.
--- a/io/grant/rates.go
+++ b/io/grant/rates.go
@@ -28,7 +28,7 @@
 type measurements struct {
 	mu           sync.Mutex
 	services     map[ident.Service]*keyCounts
-	slowdowns    map[ident.Server]*choice.Least
+	slowdowns    map[ident.Server]*choice.WindowedMin
 	serviceTimes map[ident.Service]*choice.Quantile // service time of a request at a server with slowdown 1, in nanoseconds
 }
 
@@ -40,7 +40,7 @@
 }
 
 func newMeasurements() *measurements {
-	return &measurements{services: map[ident.Service]*keyCounts{}, slowdowns: map[ident.Server]*choice.Least{}, serviceTimes: map[ident.Service]*choice.Quantile{}}
+	return &measurements{services: map[ident.Service]*keyCounts{}, slowdowns: map[ident.Server]*choice.WindowedMin{}, serviceTimes: map[ident.Service]*choice.Quantile{}}
 }
 
 func (r *measurements) reset() {
@@ -68,13 +68,13 @@
 		if p := x.GetPacePercent(); p > 0 {
 			id := ident.Server(x.GetServer())
 			if r.slowdowns[id] == nil {
-				r.slowdowns[id] = &choice.Least{}
+				r.slowdowns[id] = &choice.WindowedMin{}
 			}
 			r.slowdowns[id].Add(now, float64(p)/100)
 		}
 		q := r.serviceTimes[ident.Service(x.GetService())]
 		if q == nil {
-			q = &choice.Quantile{P: choice.UnitQuantile}
+			q = &choice.Quantile{P: choice.ServiceTimeQuantile}
 			r.serviceTimes[ident.Service(x.GetService())] = q
 		}
 		for _, t := range x.GetTook_100Us() {
@@ -121,5 +121,5 @@
 	if q == nil || slowdown == nil {
 		return 0
 	}
-	return time.Duration(q.Q * slowdown.At(now))
+	return time.Duration(q.Estimate * slowdown.Min(now))
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -121,7 +121,7 @@
 	n.sender = send.New(send.Options{
 		Self: s.Name, Domain: s.Domain, View: n.feed, Dialect: n.o.Platform.Dialect,
 		ColdLimit:  pace.ColdLimit{Factor: s.Limits.ColdFactor, Slack: s.Limits.ColdSlack},
-		RetryLimit: pace.BudgetLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
+		RetryLimit: pace.RetryLimit{Ratio: s.Limits.RetryRatio, Slack: s.Limits.RetrySlack, Window: s.Limits.RetryWindow},
 		Clock:      n.clock, Counter: n.meter, Log: n.o.Log, Limiter: n.limiter, Guard: n.guard, MaxCopyAge: s.Limits.MaxCopyAge,
 	})
 	if n.id, err = newIdentity(s.Name, n.feed.Snapshot); err != nil {
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -143,11 +143,11 @@
 	defer fasthttp.ReleaseRequest(req)
 	s.buildRequest(req, r, b)
 	b.mu.Lock()
-	b.load.Mine++
+	b.load.OwnInFlight++
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		b.load.Mine--
+		b.load.OwnInFlight--
 		b.mu.Unlock()
 	}()
 	// A connection without data is not suspected while others receive responses: the server may still be running the
@@ -225,28 +225,28 @@
 	if x.Outcome == retry.Answered || x.End == admit.EndRefused {
 		if rep, ok := d.ParseLoad(resp.Header.Peek(d.Load)); ok {
 			b.observeLoad(now, rep)
-			if x.End == admit.EndAnswered && rep.Waiting == 0 && b.load.Undisturbed() {
-				serviceTime = time.Duration(float64(took) / max(minSlowdown, b.load.Own))
+			if x.End == admit.EndAnswered && rep.Waiting == 0 && b.load.AtBaseline() {
+				serviceTime = time.Duration(float64(took) / max(minSlowdown, b.load.BaseSlowdown))
 				b.addSample(serviceTime)
 			}
 		}
 	}
 	switch x.End {
 	case admit.EndAnswered:
-		b.load.Answered()
+		b.load.RecordSuccess()
 	case admit.EndRefused, admit.EndOverloaded:
 		b.observeRefusal(now, resp)
 	case admit.EndReset, admit.EndNoDial:
 		if x.Over {
-			b.load.Failed(now, avoidWhenFull)
+			b.load.RecordFailure(now, avoidWhenFull)
 			break
 		}
-		b.load.Failed(now, avoidAfterFailure)
+		b.load.RecordFailure(now, avoidAfterFailure)
 		b.restartSuspectedUntil = now.Add(restartSuspicionTime)
 	case admit.EndTimeout, admit.EndSilent:
-		b.load.Failed(now, avoidAfterFailure)
+		b.load.RecordFailure(now, avoidAfterFailure)
 	case admit.EndFailed:
-		b.load.Failed(now, avoidWhenFull)
+		b.load.RecordFailure(now, avoidWhenFull)
 	}
 	return serviceTime
 }
@@ -258,7 +258,7 @@
 	switch {
 	case resp.StatusCode() == fasthttp.StatusMisdirectedRequest: // concerns the key, not the server
 	case !b.keyed:
-		b.load.Failed(now, avoidWhenFull)
+		b.load.RecordFailure(now, avoidWhenFull)
 	case b.load.Full(now):
 		b.load.AvoidUntil = max(b.load.AvoidUntil, now.Add(avoidWhenFull))
 	}
--- a/io/send/back.go
+++ b/io/send/back.go
@@ -36,13 +36,13 @@
 
 	mu             sync.Mutex
 	load           choice.Load
-	coldWindow     pace.Window // requests sent while the server is cold
+	coldWindow     pace.SlidingWindow // requests sent while the server is cold
 	keyed          bool
 	samples        []uint32 // service times without interference since the last report to the coordinator, in units of choice.SampleUnit
 	lowestSlowdown float64  // lowest slowdown that the server reported since then; 0 for no report
 
-	restartSuspectedUntil mono.Time   // until then the server may have restarted, and be cold, without having announced it
-	restartWindow         pace.Window // requests sent in that time
+	restartSuspectedUntil mono.Time          // until then the server may have restarted, and be cold, without having announced it
+	restartWindow         pace.SlidingWindow // requests sent in that time
 }
 
 const (
@@ -99,12 +99,12 @@
 
 // sendLimit returns the window that counts requests to the server, the number of requests allowed and the time span in which
 // they are. The window is nil if the server is neither cold nor suspected of a restart. The caller holds b.mu.
-func (s *Sender) sendLimit(b *backend, x *site.Server, v *site.Service, names []ident.Daemon, now mono.Time) (*pace.Window, int, time.Duration) {
+func (s *Sender) sendLimit(b *backend, x *site.Server, v *site.Service, names []ident.Daemon, now mono.Time) (*pace.SlidingWindow, int, time.Duration) {
 	switch {
 	case now.Before(x.ColdUntil):
 		l := s.o.ColdLimit
 		l.Rate = v.WarmRate
-		return &b.coldWindow, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdSpan
+		return &b.coldWindow, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdWindow
 	case now.Before(b.restartSuspectedUntil):
 		return &b.restartWindow, 1, restartProbeInterval
 	}
@@ -121,17 +121,17 @@
 func (s *Sender) recordArrival(r *request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retryBudget(r.service.Name).Arrive(r.arrived, s.o.RetryLimit)
+	s.retryBudget(r.service.Name).CountRequest(r.arrived, s.o.RetryLimit)
 	if r.service.Keyed && r.hasKey {
 		s.counts[keyBucket{service: r.service.Name, index: uint32(r.key) / hold.BucketKeys}]++
 	}
 }
 
 // retryBudget returns the service's retry budget. The caller holds s.mu.
-func (s *Sender) retryBudget(n ident.Service) *pace.Budget {
+func (s *Sender) retryBudget(n ident.Service) *pace.RetryBudget {
 	b := s.retryBudgets[n]
 	if b == nil {
-		b = &pace.Budget{Since: s.started}
+		b = &pace.RetryBudget{StartedAt: s.started}
 		s.retryBudgets[n] = b
 	}
 	return b
@@ -151,10 +151,10 @@
 	defer s.mu.Unlock()
 	p := s.callerRetries[r.Name]
 	if p == nil {
-		p = &pace.Patience{}
+		p = &pace.CallerRetryDetector{}
 		s.callerRetries[r.Name] = p
 	}
-	return p.CameBack(remaining)
+	return p.Observe(remaining)
 }
 
 // TakeMeasurements returns and resets the measurements that the coordinator plans by: requests by key, and the speed of
@@ -193,7 +193,7 @@
 
 // observeLoad records a server's load report. The caller holds b.mu.
 func (b *backend) observeLoad(now mono.Time, r LoadReport) {
-	b.load.Report(now, r.Running, r.Waiting, r.Slowdown)
+	b.load.ApplyReport(now, r.Running, r.Waiting, r.Slowdown)
 	if b.lowestSlowdown == 0 || r.Slowdown < b.lowestSlowdown {
 		b.lowestSlowdown = r.Slowdown
 	}
@@ -225,7 +225,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if q := s.serviceTimes[n]; q != nil {
-		return time.Duration(q.Q)
+		return time.Duration(q.Estimate)
 	}
 	return 0
 }
@@ -235,7 +235,7 @@
 	defer s.mu.Unlock()
 	q := s.serviceTimes[n]
 	if q == nil {
-		q = &choice.Quantile{P: choice.UnitQuantile}
+		q = &choice.Quantile{P: choice.ServiceTimeQuantile}
 		s.serviceTimes[n] = q
 	}
 	q.Add(float64(d))
--- a/io/send/back_test.go
+++ b/io/send/back_test.go
@@ -68,7 +68,7 @@
 	s := &Sender{}
 	now := mono.Time(time.Hour)
 	idle := backend{load: choice.Load{Slots: 3}}
-	full := backend{load: choice.Load{Slots: 3, Mine: 6}}
+	full := backend{load: choice.Load{Slots: 3, OwnInFlight: 6}}
 	require.Equal(t, retryRefusing, s.refuse(&request{}, idle.noRetryReason(now)).retryAfter)
 	require.Equal(t, retryFull, s.refuse(&request{}, full.noRetryReason(now)).retryAfter)
 }
--- a/io/send/choose.go
+++ b/io/send/choose.go
@@ -34,7 +34,7 @@
 func (s *Sender) localityBonus(r *site.Route) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return choice.NearGain(s.meanSizes[r.Name], r.Target)
+	return choice.LocalityBonus(s.meanSizes[r.Name], r.Target)
 }
 
 // observeSize updates the moving average of the size of requests plus responses on a route, in bytes. It is kept by route, as
@@ -77,7 +77,7 @@
 		b.mu.Lock()
 		load := b.load
 		b.mu.Unlock()
-		l = append(l, choice.Candidate{Load: &load, Near: x.Domain == s.o.Domain, Usual: subset[x.ID]})
+		l = append(l, choice.Candidate{Load: &load, Local: x.Domain == s.o.Domain, InSubset: subset[x.ID]})
 		backends = append(backends, b)
 	}
 	i, ok := choice.Pick(now, l, s.serviceTime(r.service.Name), s.localityBonus(r.route), rand.IntN)
@@ -175,7 +175,7 @@
 	if !b.load.Full(now) {
 		return false
 	}
-	expected := b.load.Expect(now, serviceTime)
+	expected := b.load.ExpectedLatency(now, serviceTime)
 	target := max(r.route.Target, r.route.Timeout/4)
 	return now.Add(expected) > min(r.arrived.Add(target), r.deadline)
 }
--- a/io/send/send.go
+++ b/io/send/send.go
@@ -73,7 +73,7 @@
 	View       View
 	Dialect    Dialect
 	ColdLimit  pace.ColdLimit // Rate is set from the service
-	RetryLimit pace.BudgetLimit
+	RetryLimit pace.RetryLimit
 	Clock      *clock.Clock
 	Counter    Counter
 	Limiter    Limiter
@@ -99,12 +99,12 @@
 
 	mu            sync.Mutex
 	backends      map[backendKey]*backend
-	retryBudgets  map[ident.Service]*pace.Budget
+	retryBudgets  map[ident.Service]*pace.RetryBudget
 	counts        map[keyBucket]uint32 // requests by keys since the last report to the coordinator
 	serviceTimes  map[ident.Service]*choice.Quantile
-	meanSizes     map[string]float64        // moving average of the bytes of a request and its response, by route
-	callerRetries map[string]*pace.Patience // by route
-	splitters     map[string]*choice.Split  // by route
+	meanSizes     map[string]float64                   // moving average of the bytes of a request and its response, by route
+	callerRetries map[string]*pace.CallerRetryDetector // by route
+	splitters     map[string]*choice.Splitter          // by route
 	subsets       map[ident.Service]map[ident.Server]bool
 	subsetsOf     *site.Snapshot // snapshot that subsets was computed from
 	unknownKeys   unknownKeys    // unknown keys that recently triggered a refresh
@@ -122,9 +122,9 @@
 	base, abort := context.WithCancel(context.Background())
 	return &Sender{
 		base: base, abort: abort, o: o, started: o.Clock.Now(), names: conns.Names{RequestID: o.Dialect.RequestID, NotRun: o.Dialect.NotRun},
-		backends: map[backendKey]*backend{}, retryBudgets: map[ident.Service]*pace.Budget{}, counts: map[keyBucket]uint32{},
+		backends: map[backendKey]*backend{}, retryBudgets: map[ident.Service]*pace.RetryBudget{}, counts: map[keyBucket]uint32{},
 		serviceTimes: map[ident.Service]*choice.Quantile{}, meanSizes: map[string]float64{},
-		callerRetries: map[string]*pace.Patience{}, splitters: map[string]*choice.Split{},
+		callerRetries: map[string]*pace.CallerRetryDetector{}, splitters: map[string]*choice.Splitter{},
 	}
 }
 
@@ -260,14 +260,14 @@
 	}
 	l := make([]choice.Part, len(r.route.Parts))
 	for i, p := range r.route.Parts {
-		l[i] = choice.Part{Service: p.Service, Weight: p.Weight, Near: s.hasLocal(r, snap, snap.Config.Services[p.Service])}
+		l[i] = choice.Part{Service: p.Service, Weight: p.Weight, Local: s.hasLocal(r, snap, snap.Config.Services[p.Service])}
 	}
 	daemons := len(s.daemonNames(snap))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := s.splitters[r.route.Name]
 	if x == nil {
-		x = &choice.Split{}
+		x = &choice.Splitter{}
 		s.splitters[r.route.Name] = x
 	}
 	return x.Pick(l, daemons)
