--- a/cmd/heatherrouterd/serve/serve.go
+++ b/cmd/heatherrouterd/serve/serve.go
@@ -41,7 +41,7 @@
 	n, err := node.New(context.Background(), node.Options{
 		Settings: s, Version: o.Version, Log: l,
 		Platform: node.Platform{
-			Store: st, Decoder: platform.Decoder{}, Dialect: platform.Dialect(), Speaker: platform.Speaker{},
+			Store: st, Decoder: platform.Decoder{}, Dialect: platform.Dialect(), Speaker: platform.OrderCodec{},
 		},
 	})
 	if err != nil {
