--- a/core/check/check.go
+++ b/core/check/check.go
@@ -1,4 +1,4 @@
-// Package check collects findings about input with the place of each, so that all of them are reported together.
+// Package check collects errors in input, with the place of each, so that all of them are reported together.
 package check
 
 import (
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Place tells where in the input a finding was made.
+// Place is the place in the input that a finding is about.
 type Place struct {
-	File string // path as the operator gave it; empty for input that is no file
-	Line int    // counted from 1; 0 when unknown
-	Key  string // dotted path of the setting, in kebab case
+	File string // path as the operator gave it; empty for input that isn't a file
+	Line int    // counted from 1; 0 if unknown
+	Key  string // dotted path of the setting in kebab case; empty if unknown
 }
 
-// String formats the place as FILE:LINE: KEY, leaving out what is unknown.
+// String formats the place as FILE:LINE: KEY, without the parts that are unknown.
 func (p Place) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -29,13 +29,13 @@
 	return b.String()
 }
 
-// Finding is one thing wrong with the input.
+// Finding is one error in the input.
 type Finding struct {
 	Place   Place
-	Message string // says what is wrong and what would be right
+	Message string // what is wrong and what would be valid
 }
 
-// String formats the finding for one line of output.
+// String formats the finding as PLACE: MESSAGE.
 func (f Finding) String() string {
 	p := f.Place.String()
 	if p == "" {
@@ -44,15 +44,15 @@
 	return p + ": " + f.Message
 }
 
-// Findings is a list of findings; as an error it prints one a line.
+// Findings is a list of findings. Use Err to return it as an error.
 type Findings []Finding
 
-// Addf appends a finding at the place.
+// Addf appends a finding about the place.
 func (f *Findings) Addf(p Place, format string, args ...any) {
 	*f = append(*f, Finding{Place: p, Message: fmt.Sprintf(format, args...)})
 }
 
-// Error implements error.
+// Error returns all findings, one a line.
 func (f Findings) Error() string {
 	l := make([]string, len(f))
 	for i, x := range f {
--- a/core/config/across.go
+++ b/core/config/across.go
@@ -7,7 +7,7 @@
 	"heatherrouter/core/ident"
 )
 
-// CheckAll finds what is wrong between services that are each right by themselves.
+// CheckAll reports conflicts between services that Parse has accepted one by one.
 func CheckAll(l []*Service) check.Findings {
 	var f check.Findings
 	names := map[ident.Service]*Service{}
@@ -25,7 +25,8 @@
 	return f
 }
 
-// checkAddrs finds a backend server that two services list: each would fill its slots without knowing of the other.
+// checkAddrs reports a backend server that two services list. Each service would use all of its slots, so together they
+// would overload it.
 func checkAddrs(f *check.Findings, s *Service, addrs map[netip.AddrPort]*Server) {
 	for i := range s.Servers {
 		v := &s.Servers[i]
@@ -38,14 +39,14 @@
 	}
 }
 
-// checkRegions finds a failure domain that is said to lie in two regions.
+// checkRegions reports a failure domain that two services assign to different regions.
 func checkRegions(f *check.Findings, s *Service, regions map[ident.Domain]*Service) {
 	for i := range s.Servers {
 		v := &s.Servers[i]
 		o, ok := regions[v.Domain]
 		if ok && o.Region != s.Region {
 			p := check.Place{File: s.path, Line: v.line, Key: "servers.domain"}
-			f.Addf(p, "is %s, which lies in region %s by service %s, not in %s", v.Domain, o.Region, o.Name, s.Region)
+			f.Addf(p, "is %s, which belongs to region %s according to service %s, not to %s", v.Domain, o.Region, o.Name, s.Region)
 			continue
 		}
 		if !ok {
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -7,7 +7,7 @@
 	"heatherrouter/core/ident"
 )
 
-// Config is everything that operators have put into force, at one revision of the document "config".
+// Config is the configuration in force at one revision of the document "config": the published services and the drains.
 type Config struct {
 	Rev      ident.Rev
 	Services map[ident.Service]*Service
@@ -16,13 +16,13 @@
 	Daemons  map[ident.Daemon]Drain
 }
 
-// Drain says who asked for no new work, and when.
+// Drain records who drained a failure domain, server or daemon, and when. A drained one gets no new work.
 type Drain struct {
 	By    string
-	Since time.Time // wall clock, for people to read
+	Since time.Time // wall-clock time, for display only
 }
 
-// New returns a configuration without services.
+// New returns a configuration without services and drains.
 func New(r ident.Rev) *Config {
 	return &Config{
 		Rev:      r,
@@ -33,22 +33,22 @@
 	}
 }
 
-// ServerDrained reports whether the backend server shall get no new work, for its own sake or its domain's.
+// ServerDrained reports whether the backend server or its failure domain is drained.
 func (c *Config) ServerDrained(s *Server) bool {
 	_, server := c.Servers[s.ID]
 	_, domain := c.Domains[s.Domain]
 	return server || domain
 }
 
-// DaemonDrained reports whether the daemon in the domain shall take no new duties.
+// DaemonDrained reports whether the daemon or its failure domain is drained. A drained daemon takes no new roles.
 func (c *Config) DaemonDrained(n ident.Daemon, d ident.Domain) bool {
 	_, daemon := c.Daemons[n]
 	_, domain := c.Domains[d]
 	return daemon || domain
 }
 
-// Find returns a backend server, or nil when no published file names it.
-func (c *Config) Find(id ident.Server) *Server {
+// FindServer returns the backend server with this id, or nil if no published service file lists it.
+func (c *Config) FindServer(id ident.Server) *Server {
 	s := c.Services[id.Service()]
 	if s == nil {
 		return nil
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// Target is what a drain applies to.
+// Target is what a drain applies to: a DomainTarget, ServerTarget or DaemonTarget.
 type Target interface {
-	// Row names the drain's row in the document "config".
+	// Row returns the name of the drain's row in the document "config".
 	Row() ident.Row
 	target()
 }
@@ -99,19 +99,19 @@
 func (ServerTarget) target() {}
 func (DaemonTarget) target() {}
 
-// ServiceRow names the row of a service's file in the document "config".
+// ServiceRow returns the name of the row that holds a service's file in the document "config".
 func ServiceRow(s ident.Service) ident.Row {
 	return ident.Row(servicePrefix + string(s))
 }
 
-// RowService returns the service whose file the row holds.
-func RowService(r ident.Row) (ident.Service, bool) {
+// ParseServiceRow returns the service whose file the row holds, or false if it is another kind of row.
+func ParseServiceRow(r ident.Row) (ident.Service, bool) {
 	s, ok := strings.CutPrefix(string(r), servicePrefix)
 	return ident.Service(s), ok && s != ""
 }
 
-// RowTarget returns what the row drains.
-func RowTarget(r ident.Row) (Target, bool) {
+// ParseTargetRow returns the target of the drain that the row holds, or false if it is another kind of row.
+func ParseTargetRow(r ident.Row) (Target, bool) {
 	if n, ok := strings.CutPrefix(string(r), domainPrefix); ok && n != "" {
 		return DomainTarget{Name: ident.Domain(n)}, true
 	}
@@ -124,7 +124,7 @@
 	return nil, false
 }
 
-// HasDomain reports whether some backend server is in the failure domain.
+// HasDomain reports whether any backend server is in the failure domain.
 func (c *Config) HasDomain(d ident.Domain) bool {
 	for _, s := range c.Services {
 		for i := range s.Servers {
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// MaxFile bounds a service file, so that it fits into one item of the table with room to spare.
-	MaxFile = 256 << 10
+	// MaxFileSize is the largest size of a service file in bytes. A file must fit well into one item of the table.
+	MaxFileSize = 256 << 10
 
-	// MaxKeyedTimeout bounds the requests of keyed services. Their deadline must lie within the lease of
-	// 1.5 s: work that runs on after the lease has lapsed would run beside the next owner's.
+	// MaxKeyedTimeout is the longest timeout of a kind in a keyed service. The deadline must be within the lease of 1.5 s:
+	// a request that runs after the lease has expired would run concurrently with requests at the next owner.
 	MaxKeyedTimeout = time.Second
 
-	// MaxTimeout bounds every request, waiting included.
+	// MaxTimeout is the longest timeout of any kind, including the time for which a request waits.
 	MaxTimeout = 24 * time.Hour
 
-	// DefaultSlots is how many requests a backend server works on at once.
+	// DefaultSlots is the default number of requests that a backend server runs at once.
 	DefaultSlots = 3
 
-	// DefaultConns is how many connections a backend server accepts.
+	// DefaultConns is the default number of connections that a backend server accepts.
 	DefaultConns = 130
 
-	// DefaultShards is how many ranges the hash space of a keyed service is cut into.
+	// DefaultShards is the default number of shards of a keyed service.
 	DefaultShards = 512
 
-	maxSlots    = 64
-	maxConns    = 65536
-	maxShards   = 1 << 20
-	maxSegment  = 15
-	maxPriority = 9
-	maxName     = 63
+	maxSlots      = 64
+	maxConns      = 65536
+	maxShards     = 1 << 20
+	maxKeySegment = 15
+	maxPriority   = 9
+	maxNameLength = 63
 )
 
-// Parse reads one service file. It returns the service only when there are no findings.
+// Parse parses and validates one service file. It returns either the service or findings. The path appears in findings.
 func Parse(path string, body []byte) (*Service, check.Findings) {
-	if len(body) > MaxFile {
+	if len(body) > MaxFileSize {
 		var f check.Findings
-		f.Addf(check.Place{File: path}, "has %d bytes, must have at most %d", len(body), MaxFile)
+		f.Addf(check.Place{File: path}, "has %d bytes, must have at most %d", len(body), MaxFileSize)
 		return nil, f
 	}
 	t := fields.Parse(path, body)
@@ -50,8 +50,8 @@
 		return nil, t.Findings()
 	}
 	s := &Service{
-		Name:   ident.Service(NeedName(t, "name")),
-		Region: ident.Region(NeedName(t, "region")),
+		Name:   ident.Service(RequiredName(t, "name")),
+		Region: ident.Region(RequiredName(t, "region")),
 		Key:    parseKey(t),
 		path:   path,
 	}
@@ -64,10 +64,10 @@
 	return s, nil
 }
 
-// ValidName reports whether a name of a service, server, daemon, domain, region or kind is well-formed.
-// Names become parts of paths, row names and metrics, which is why they are this narrow.
+// ValidName reports whether s is valid as the name of a service, server, daemon, domain, region or kind.
+// Names are restricted since they become parts of paths, row names and metrics.
 func ValidName(s string) bool {
-	if s == "" || len(s) > maxName || s[0] == '-' || s[len(s)-1] == '-' {
+	if s == "" || len(s) > maxNameLength || s[0] == '-' || s[len(s)-1] == '-' {
 		return false
 	}
 	for _, c := range []byte(s) {
@@ -78,11 +78,11 @@
 	return true
 }
 
-// NeedName reads a name that must be there and be well-formed.
-func NeedName(t *fields.Table, key string) string {
-	s := t.Need(key)
+// RequiredName reads a setting that must be present and a valid name. Otherwise it adds a finding.
+func RequiredName(t *fields.Table, key string) string {
+	s := t.RequiredString(key)
 	if s != "" && !ValidName(s) {
-		t.Addf(key, "is %q, must be of lower-case letters, digits and inner hyphens, at most %d", s, maxName)
+		t.Addf(key, "is %q, must consist of lower-case letters, digits and inner hyphens, at most %d characters", s, maxNameLength)
 	}
 	return s
 }
@@ -92,7 +92,7 @@
 		return nil
 	}
 	k := t.Table("key")
-	segment := PathKey{Segment: k.Int("path-segment", 0, 0, maxSegment)}
+	segment := PathKey{Segment: k.Int("path-segment", 0, 0, maxKeySegment)}
 	header := HeaderKey{Name: k.String("header")}
 	query := QueryKey{Name: k.String("query")}
 
@@ -101,22 +101,22 @@
 		l = append(l, segment)
 	}
 	if k.Has("header") {
-		needToken(k, "header", header.Name)
+		checkToken(k, "header", header.Name)
 		l = append(l, header)
 	}
 	if k.Has("query") {
-		needToken(k, "query", query.Name)
+		checkToken(k, "query", query.Name)
 		l = append(l, query)
 	}
 	if len(l) != 1 {
-		k.Addf("", "must hold exactly one of path-segment, header and query")
-		return header // stands for any key, so that the kinds are checked as those of a keyed service
+		k.Addf("", "must contain exactly one of path-segment, header and query")
+		return header // any key source, so that the kinds are validated as those of a keyed service
 	}
 	return l[0]
 }
 
-// needToken checks the name of a header or query parameter.
-func needToken(t *fields.Table, key, name string) {
+// checkToken adds a finding if the name of a header or query parameter is invalid.
+func checkToken(t *fields.Table, key, name string) {
 	if !isToken(name) {
 		t.Addf(key, "is %q, must be a name of letters, digits, hyphens and underscores", name)
 	}
@@ -136,7 +136,7 @@
 func parseShards(t *fields.Table, keyed bool) int {
 	if !keyed && t.Has("shards") {
 		t.Int("shards", 0, 1, maxShards)
-		t.Addf("shards", "is only for a service with a [key]")
+		t.Addf("shards", "is only allowed in a service with a [key]")
 	}
 	if !keyed {
 		return 0
@@ -169,9 +169,9 @@
 
 func parseServer(t *fields.Table, s ident.Service) Server {
 	v := Server{
-		ID:           ident.MakeServer(s, NeedName(t, "name")),
+		ID:           ident.ServerID(s, RequiredName(t, "name")),
 		Addr:         ParseAddr(t, "address"),
-		Domain:       ident.Domain(NeedName(t, "domain")),
+		Domain:       ident.Domain(RequiredName(t, "domain")),
 		Slots:        t.Int("slots", DefaultSlots, 1, maxSlots),
 		Conns:        t.Int("conns", DefaultConns, 1, maxConns),
 		ChecksGrants: t.Bool("checks-grants"),
@@ -183,15 +183,15 @@
 	return v
 }
 
-// ParseAddr reads an address that must be an IP number with a port.
+// ParseAddr reads a setting that must be present and the IP address and port of one host. Otherwise it adds a finding.
 func ParseAddr(t *fields.Table, key string) netip.AddrPort {
-	s := t.Need(key)
+	s := t.RequiredString(key)
 	if s == "" {
 		return netip.AddrPort{}
 	}
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
-		t.Addf(key, `is %q, must be an IP number and a port such as "127.0.0.1:8080"`, s)
+		t.Addf(key, `is %q, must be an IP address and a port such as "127.0.0.1:8080"`, s)
 		return netip.AddrPort{}
 	}
 	if a.Addr().IsUnspecified() || a.Addr().IsMulticast() {
@@ -219,9 +219,9 @@
 
 func parseKind(t *fields.Table, s *Service) Kind {
 	k := Kind{
-		Name:         NeedName(t, "name"),
+		Name:         RequiredName(t, "name"),
 		Methods:      parseMethods(t),
-		Path:         t.Need("path"),
+		Path:         t.RequiredString("path"),
 		Idempotent:   t.Bool("idempotent"),
 		Timeout:      parseTimeout(t),
 		Priority:     Priority(t.Int("priority", 0, 0, maxPriority)),
@@ -230,7 +230,7 @@
 		Streamed:     t.Bool("streamed"),
 	}
 	if k.NeverDropped && !k.MayWait {
-		t.Addf("never-dropped", "needs may-wait = true, since only what waits can be kept until there is room")
+		t.Addf("never-dropped", "needs may-wait = true, since only a request that may wait can be kept until a server has capacity")
 	}
 	checkPath(t, k.Path, s.Key)
 	if s.Keyed() {
@@ -247,10 +247,10 @@
 	}
 	for i, m := range l {
 		if !slices.Contains(known, m) {
-			t.Addf("methods", "holds %q, must hold only of %v", m, known)
+			t.Addf("methods", "contains %q, must contain only methods of %v", m, known)
 		}
 		if slices.Contains(l[:i], m) {
-			t.Addf("methods", "holds %q twice", m)
+			t.Addf("methods", "contains %q twice", m)
 		}
 	}
 	return l
@@ -269,7 +269,7 @@
 	return d
 }
 
-// checkKeyed holds the kinds of a keyed service to requests that end within a lease; see MaxKeyedTimeout.
+// checkKeyed adds a finding if requests of a kind in a keyed service might not end within a lease; see MaxKeyedTimeout.
 func checkKeyed(t *fields.Table, k *Kind) {
 	if k.Timeout > MaxKeyedTimeout {
 		t.Addf("timeout", "is %s, must be at most %s in a service with a [key]", k.Timeout, MaxKeyedTimeout)
--- a/core/config/paths_test.go
+++ b/core/config/paths_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A kind is reported as unreachable when an earlier pattern covers its own. A wrong "covers" would refuse
-// files that are right, or let a kind stand that never gets a request.
+// Guards against an error in covers, which finds unreachable kinds. It would reject valid files, or accept a kind that
+// never gets a request.
 func TestCoversAgreesWithMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "*"})
@@ -28,13 +28,13 @@
 
 func drawPattern(t *rapid.T, segment *rapid.Generator[string], label string) string {
 	l := rapid.SliceOfN(segment, 0, 3).Draw(t, label)
-	if rapid.Bool().Draw(t, label+" open") {
+	if rapid.Bool().Draw(t, label+" matches rest") {
 		l = append(l, "**")
 	}
 	return "/" + strings.Join(l, "/")
 }
 
-// allPaths returns every path of up to n segments out of three, one of which no pattern names.
+// allPaths returns every path of up to n of the segments a, b and c. The patterns never contain c literally.
 func allPaths(n int) []string {
 	last := []string{""}
 	all := []string{"/"}
--- a/core/config/pattern.go
+++ b/core/config/pattern.go
@@ -12,11 +12,12 @@
 
 // Pattern is the compiled path of a kind.
 type Pattern struct {
-	segments []string // anySegment stands for any one segment
-	open     bool     // ended in anyRest
+	segments    []string // literal segments, or anySegment, which matches any one segment that isn't empty
+	matchesRest bool     // whether any further segments may follow
 }
 
-// CompilePattern compiles a path that Parse accepts.
+// CompilePattern compiles the path of a kind, which must have been accepted by Parse. A segment "*" matches any one
+// segment, and "**" at the end matches any remaining segments.
 func CompilePattern(path string) Pattern {
 	path = strings.Trim(path, "/")
 	if path == "" {
@@ -24,15 +25,15 @@
 	}
 	l := strings.Split(path, "/")
 	if n := len(l) - 1; l[n] == anyRest {
-		return Pattern{segments: l[:n], open: true}
+		return Pattern{segments: l[:n], matchesRest: true}
 	}
 	return Pattern{segments: l}
 }
 
-// Match reports whether the pattern takes the path below the service's segment. It allocates nothing.
+// Match reports whether the pattern matches a path below the service's segment. It doesn't allocate.
 func (p *Pattern) Match(path []byte) bool {
 	if len(path) == 1 {
-		path = nil // a lone slash is the service itself
+		path = nil // "/" is equivalent to the empty path
 	}
 	for _, want := range p.segments {
 		if len(path) == 0 {
@@ -48,5 +49,5 @@
 		}
 		path = path[n:]
 	}
-	return len(path) == 0 || p.open
+	return len(path) == 0 || p.matchesRest
 }
--- a/core/config/service.go
+++ b/core/config/service.go
@@ -1,4 +1,4 @@
-// Package config is the model of the service files that operators publish, with their rules.
+// Package config parses and validates the service files that operators publish, and models the configuration in force.
 package config
 
 import (
@@ -8,19 +8,19 @@
 	"heatherrouter/core/ident"
 )
 
-// Service is one routed service as its service file states it.
+// Service is a service to which requests are routed, as its service file defines it.
 type Service struct {
 	Name    ident.Service
 	Region  ident.Region
 	Key     KeySource // nil for an unkeyed service
-	Shards  int       // how many ranges the hash space is cut into; 0 for an unkeyed service
+	Shards  int       // number of ranges into which the hash space is divided; 0 for an unkeyed service
 	Servers []Server
 	Kinds   []Kind
 
-	path string // of the file, for findings
+	path string // path of the service file, for findings
 }
 
-// Keyed reports whether each key of the service belongs to one backend server.
+// Keyed reports whether each key of the service is owned by one backend server.
 func (s *Service) Keyed() bool {
 	return s.Key != nil
 }
@@ -30,30 +30,30 @@
 	ID           ident.Server
 	Addr         netip.AddrPort
 	Domain       ident.Domain
-	Slots        int  // requests it may work on at once
-	Conns        int  // connections it accepts in all
-	ChecksGrants bool // refuses work under an epoch older than the highest it has taken
+	Slots        int  // requests that it may run at once
+	Conns        int  // connections that it accepts from all daemons together
+	ChecksGrants bool // whether it rejects requests with an epoch lower than the highest that it has accepted
 
-	line int // in the file, for findings
+	line int // line in the service file, for findings
 }
 
-// KeySource says where in a request its key is found.
+// KeySource says where in a request its key is: PathKey, HeaderKey or QueryKey.
 type KeySource interface {
 	keySource()
 }
 
 type (
-	// PathKey takes a segment of the path below the service's own segment.
+	// PathKey uses a segment of the path below the service's own segment as the key.
 	PathKey struct {
 		Segment int // counted from 0
 	}
 
-	// HeaderKey takes the value of a header.
+	// HeaderKey uses the value of a header as the key.
 	HeaderKey struct {
 		Name string
 	}
 
-	// QueryKey takes the value of a query parameter.
+	// QueryKey uses the value of a query parameter as the key.
 	QueryKey struct {
 		Name string
 	}
@@ -63,18 +63,18 @@
 func (HeaderKey) keySource() {}
 func (QueryKey) keySource()  {}
 
-// Priority orders kinds that wait for one slot; a higher one goes first.
+// Priority orders the requests that wait for a slot of one server. Requests with a higher value are sent first.
 type Priority int
 
 // Kind is the policy for one kind of request.
 type Kind struct {
 	Name         string
 	Methods      []string
-	Path         string        // pattern below the service's segment: "/rooster/*", a "*" for one segment, a last "**" for any rest
-	Idempotent   bool          // may be sent again after an unknown outcome
-	Timeout      time.Duration // from arrival to the final answer
+	Path         string        // pattern of the path below the service's segment, as in "/rooster/*"; see CompilePattern
+	Idempotent   bool          // whether a request may be sent again after an unknown outcome
+	Timeout      time.Duration // longest time from arrival to the final response
 	Priority     Priority
-	MayWait      bool // may be held at the entry until there is room
-	NeverDropped bool // once accepted it is held until its timeout, never refused to make room
-	Streamed     bool // bodies may be large and are passed on as they come
+	MayWait      bool // whether a request may wait at the entry daemon until a server has capacity
+	NeverDropped bool // whether an accepted request waits until its timeout and is never rejected in favour of others
+	Streamed     bool // whether bodies may be large and are forwarded while they are received
 }
--- a/core/fields/fields.go
+++ b/core/fields/fields.go
@@ -12,25 +12,25 @@
 	"heatherrouter/core/check"
 )
 
-// Table is one table of a file. Its methods read settings by key; a setting of the wrong type or out of
-// range becomes a finding and reads as its default, so that reading goes on to the next setting.
+// Table is one table of a TOML file. Its methods read settings by key. A setting that has the wrong type or is out of
+// range adds a finding and yields its default, so that all settings are checked in one pass.
 type Table struct {
 	doc    *document
-	path   string // dotted, empty for the root
-	line   int    // of the table's header; 0 for the root and for a table that is missing
-	values map[string]any
-	read   map[string]bool
-	tables []*Table
+	path   string          // dotted path of the table; empty for the root
+	line   int             // line of the table's header, or that of the parent if it is missing; 0 for the root
+	values map[string]any  // nil if the file could not be parsed
+	read   map[string]bool // keys that have been read
+	tables []*Table        // tables below this one that have been read
 }
 
-// document is what the tables of one file share.
+// document is the state that all tables of one file share.
 type document struct {
 	file     string
-	lines    map[string]int // by dotted path
+	lines    map[string]int // line of each key, by dotted path
 	findings check.Findings
 }
 
-// Parse returns the root table of a file. A file that is no TOML gives a table without settings and a finding.
+// Parse returns the root table of a file. If the file is not valid TOML, the table has no settings and one finding.
 func Parse(file string, body []byte) *Table {
 	d := &document{file: file}
 	t := &Table{doc: d, values: map[string]any{}, read: map[string]bool{}}
@@ -58,17 +58,17 @@
 	return err.Error()
 }
 
-// Valid reports whether the file could be parsed at all.
+// Valid reports whether the file is valid TOML.
 func (t *Table) Valid() bool {
 	return t.values != nil
 }
 
-// Addf adds a finding about a setting of the table; an empty key means the table itself.
+// Addf adds a finding about a setting of the table. An empty key means the table itself.
 func (t *Table) Addf(key, format string, args ...any) {
 	t.doc.findings.Addf(t.Place(key), format, args...)
 }
 
-// Place returns the place of a setting, or that of the table where the setting is missing.
+// Place returns the place of a setting. If the setting is missing, the line is that of the table.
 func (t *Table) Place(key string) check.Place {
 	p := check.Place{File: t.doc.file, Line: t.line, Key: join(t.path, key)}
 	if l := t.doc.lines[p.Key]; l > 0 {
@@ -77,7 +77,7 @@
 	return p
 }
 
-// Has reports whether the setting is there.
+// Has reports whether the setting is present.
 func (t *Table) Has(key string) bool {
 	_, ok := t.values[key]
 	return ok
@@ -89,8 +89,8 @@
 	return s
 }
 
-// Need returns a string setting that must be there and not be empty.
-func (t *Table) Need(key string) string {
+// RequiredString returns a string setting. It adds a finding if the setting is missing or empty.
+func (t *Table) RequiredString(key string) string {
 	s, ok := get[string](t, key, "a string")
 	if t.Valid() && s == "" && (ok || !t.Has(key)) {
 		t.Addf(key, "is missing")
@@ -98,7 +98,7 @@
 	return s
 }
 
-// Int returns a whole number between lo and hi, or def when it is missing.
+// Int returns an integer setting, or def when it is missing. The value must be from lo to hi, both included.
 func (t *Table) Int(key string, def, lo, hi int) int {
 	n, ok := get[int64](t, key, "a whole number")
 	if !ok {
@@ -117,7 +117,7 @@
 	return b
 }
 
-// Duration returns a setting such as "1.5s", or def when it is missing.
+// Duration returns a setting such as "1.5s", in the format of time.ParseDuration, or def when it is missing.
 func (t *Table) Duration(key string, def time.Duration) time.Duration {
 	s, ok := get[string](t, key, `a duration such as "500ms"`)
 	if !ok {
@@ -131,7 +131,7 @@
 	return d
 }
 
-// Strings returns a list of strings, or nil when it is missing.
+// Strings returns a list of strings, or nil when the setting is missing.
 func (t *Table) Strings(key string) []string {
 	l, ok := get[[]any](t, key, "a list of strings")
 	if !ok {
@@ -149,7 +149,7 @@
 	return r
 }
 
-// Table returns a table below t; one that is missing reads as empty.
+// Table returns a table below t. If it is missing, the result is an empty table.
 func (t *Table) Table(key string) *Table {
 	m, _ := get[map[string]any](t, key, "a table")
 	if m == nil && t.Valid() {
@@ -158,7 +158,7 @@
 	return t.child(join(t.path, key), m)
 }
 
-// Tables returns the tables of a list of tables.
+// Tables returns the elements of an array of tables, or nil when the setting is missing.
 func (t *Table) Tables(key string) []*Table {
 	l, ok := get[[]any](t, key, "a list of tables")
 	if !ok {
@@ -186,11 +186,10 @@
 	return c
 }
 
-// Findings adds a finding for each setting that nobody has read and returns all findings in the order of the file.
-//
-// A misspelt key would otherwise leave its setting at the default without a word.
+// Findings adds a finding for each setting that has not been read and returns all findings in the order of the file.
+// Without that check a misspelt key would silently leave its setting at the default.
 func (t *Table) Findings() check.Findings {
-	t.unknown()
+	t.addUnknown()
 	f := t.doc.findings
 	slices.SortStableFunc(f, func(a, b check.Finding) int {
 		return a.Place.Line - b.Place.Line
@@ -198,7 +197,8 @@
 	return f
 }
 
-func (t *Table) unknown() {
+// addUnknown adds a finding for each setting that has not been read, in this table and those below it.
+func (t *Table) addUnknown() {
 	for _, k := range sortedKeys(t.values) {
 		if !t.read[k] {
 			t.Addf(k, "is no known setting")
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, c := range t.tables {
-		c.unknown()
+		c.addUnknown()
 	}
 }
 
@@ -219,7 +219,7 @@
 	return l
 }
 
-// get reads one setting and notes that its key is known.
+// get reads one setting and records its key as read. It returns false if the setting is missing or has another type.
 func get[T any](t *Table, key, want string) (T, bool) {
 	t.read[key] = true
 	v, ok := t.values[key]
@@ -234,6 +234,7 @@
 	return x, ok
 }
 
+// join joins a dotted path and a key. Either may be empty.
 func join(path, key string) string {
 	switch {
 	case path == "":
--- a/core/fields/fields_test.go
+++ b/core/fields/fields_test.go
@@ -63,7 +63,7 @@
 	require.Nil(t, root.Strings("l"))
 	require.Empty(t, root.Table("t").String("x"))
 	require.Nil(t, root.Tables("ts"))
-	require.Equal(t, "ok", root.Need("safe"))
+	require.Equal(t, "ok", root.RequiredString("safe"))
 	want := []string{
 		"x.toml:1: s: must be a string",
 		"x.toml:2: i: must be a whole number",
@@ -79,7 +79,7 @@
 func TestSyntaxError(t *testing.T) {
 	root := fields.Parse("x.toml", []byte("a = 1\na = 2\n"))
 	require.False(t, root.Valid())
-	require.Empty(t, root.Need("a"))
+	require.Empty(t, root.RequiredString("a"))
 	require.Len(t, root.Findings(), 1)
 	require.Contains(t, root.Findings().Error(), "x.toml:2: is no valid TOML")
 }
--- a/core/fields/lines.go
+++ b/core/fields/lines.go
@@ -8,16 +8,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineWalk notes the line of each key of a file by its dotted path.
-type lineWalk struct {
-	starts []int // offset of each line
-	lines  map[string]int
-	lists  map[string]int // tables so far in each list of tables
+// lineWalker records the line of each key of a file.
+type lineWalker struct {
+	starts []int          // byte offset of each line
+	lines  map[string]int // line of each key, counted from 1, by dotted path
+	lists  map[string]int // number of tables visited so far in each array of tables, by dotted path
 }
 
-// keyLines returns the line of each key, counted from 1. The body has been parsed before without an error.
+// keyLines returns the line of each key, counted from 1, by dotted path. The body must be valid TOML.
 func keyLines(body []byte) map[string]int {
-	w := &lineWalk{starts: lineStarts(body), lines: map[string]int{}, lists: map[string]int{}}
+	w := &lineWalker{starts: lineStarts(body), lines: map[string]int{}, lists: map[string]int{}}
 	var p unstable.Parser
 	p.Reset(body)
 	prefix := ""
@@ -34,6 +34,7 @@
 	return w.lines
 }
 
+// lineStarts returns the byte offset of each line.
 func lineStarts(body []byte) []int {
 	l := []int{0}
 	for i := 0; ; {
@@ -46,35 +47,36 @@
 	}
 }
 
-// header notes a table's header and returns its path.
-func (w *lineWalk) header(n *unstable.Node, list bool) string {
+// header records the lines of a table's header and returns the table's dotted path. In an array of tables, the path ends
+// in the index of the table.
+func (w *lineWalker) header(n *unstable.Node, list bool) string {
 	path := ""
 	for it := n.Key(); it.Next(); {
 		k := it.Node()
 		path = join(path, string(k.Data))
-		w.note(path, k)
+		w.recordLine(path, k)
 		if list && it.IsLast() {
 			w.lists[path]++
 		}
 		if c := w.lists[path]; c > 0 {
 			path = fmt.Sprintf("%s[%d]", path, c-1)
-			w.note(path, k)
+			w.recordLine(path, k)
 		}
 	}
 	return path
 }
 
-func (w *lineWalk) keyValue(prefix string, n *unstable.Node) {
+func (w *lineWalker) keyValue(prefix string, n *unstable.Node) {
 	path := prefix
 	for it := n.Key(); it.Next(); {
 		k := it.Node()
 		path = join(path, string(k.Data))
-		w.note(path, k)
+		w.recordLine(path, k)
 	}
 	w.value(path, n.Value())
 }
 
-func (w *lineWalk) value(path string, n *unstable.Node) {
+func (w *lineWalker) value(path string, n *unstable.Node) {
 	switch n.Kind {
 	case unstable.InlineTable:
 		for it := n.Children(); it.Next(); {
@@ -90,7 +92,8 @@
 	}
 }
 
-func (w *lineWalk) note(path string, k *unstable.Node) {
+// recordLine records the line of a key, unless the path has a line already.
+func (w *lineWalker) recordLine(path string, k *unstable.Node) {
 	if _, ok := w.lines[path]; ok {
 		return
 	}
--- a/core/ident/ident.go
+++ b/core/ident/ident.go
@@ -1,59 +1,60 @@
-// Package ident names the identities and counters that every part of the router shares.
+// Package ident defines the identifiers and counters that all parts of the router share.
 package ident
 
 import "strings"
 
 type (
-	// Service is the name of a routed service, unique over all services.
+	// Service is the unique name of a service to which requests are routed.
 	Service string
 
-	// Server names one backend server as "service/server"; it is unique over all services.
+	// Server is the id of a backend server, "SERVICE/NAME". It is unique over all services.
 	Server string
 
-	// Daemon names one heatherrouterd host. A replaced host gets a new name or a new Incarnation.
+	// Daemon is the name of a host that runs heatherrouterd. A replacement host gets a new name or a new Incarnation.
 	Daemon string
 
-	// Domain names a failure domain.
+	// Domain is the name of a failure domain.
 	Domain string
 
-	// Region names a region, a group of failure domains.
+	// Region is the name of a group of failure domains.
 	Region string
 
-	// Organisation names a customer whose callers authenticate with API keys.
+	// Organisation is the name of a customer whose callers authenticate with API keys.
 	Organisation string
 
 	// Request is the id of one caller's request.
 	Request string
 
-	// Doc names one replicated document, such as "config" or "part/SERVICE".
+	// Doc is the name of a replicated document, such as "config" or "part/SERVICE".
 	Doc string
 
-	// Row names one row of a document, such as "server/NAME".
+	// Row is the name of a row of a document, such as "server/NAME".
 	Row string
 
-	// Txn is the unique id of one table transaction; a lost reply is settled by reading it back.
+	// Txn is the unique id of a table transaction. If the reply to a commit is lost, reading the id back from the table
+	// shows whether the transaction was committed.
 	Txn string
 )
 
 type (
-	// Shard numbers a range of a service's 64-bit hash space.
+	// Shard is the number of a shard, a range of a service's 64-bit hash space.
 	Shard uint32
 
-	// Epoch counts the leases of one server or the ownerships of one shard; a higher epoch supersedes a lower one.
+	// Epoch is the number of a lease of one server or of an ownership of one shard. A higher epoch supersedes lower ones.
 	Epoch uint64
 
-	// Rev counts the committed transactions of one document.
+	// Rev is the revision of a document: the number of transactions committed to it.
 	Rev uint64
 
 	// Hash is the 64-bit hash of a key.
 	Hash uint64
 
-	// Incarnation tells two lives of one daemon or backend server apart.
+	// Incarnation identifies one run of a daemon or backend server.
 	Incarnation uint64
 )
 
-// MakeServer joins the name of a service and the short name of one of its backend servers.
-func MakeServer(s Service, short string) Server {
+// ServerID returns the id of a backend server, given its service and its name within the service.
+func ServerID(s Service, short string) Server {
 	return Server(string(s) + "/" + short)
 }
 
@@ -63,10 +64,10 @@
 	return Service(name)
 }
 
-// ConfigDoc is the document that holds every published service file and drain.
+// ConfigDoc is the document that holds all published service files and drains.
 const ConfigDoc Doc = "config"
 
-// PartDoc returns the document that holds the assignments of one service.
-func PartDoc(s Service) Doc {
+// AssignmentsDoc returns the document that holds the shard assignments of one service.
+func AssignmentsDoc(s Service) Doc {
 	return Doc("part/" + string(s))
 }
--- a/core/lease/world_test.go
+++ b/core/lease/world_test.go
@@ -108,7 +108,7 @@
 
 func daemonName(i int) ident.Daemon { return ident.Daemon(fmt.Sprint(i)) }
 
-func serverName(i int) ident.Server { return ident.MakeServer("svc", fmt.Sprint(i)) }
+func serverName(i int) ident.Server { return ident.ServerID("svc", fmt.Sprint(i)) }
 
 // byName returns the daemon, or nil when there is none.
 func (w *world) byName(d ident.Daemon) *daemon {
--- a/core/mono/mono.go
+++ b/core/mono/mono.go
@@ -1,4 +1,4 @@
-// Package mono is monotonic time as the decisions in core see it: a value handed in, never read from a clock.
+// Package mono represents monotonic time. Packages in core get the time as an argument and never read a clock.
 package mono
 
 import (
@@ -7,13 +7,13 @@
 )
 
 // Time is a reading of one process's monotonic clock, in nanoseconds since an arbitrary start.
-// Readings of two processes must never be compared.
+// Readings from different processes are not comparable.
 type Time int64
 
 // Never is later than every other Time.
 const Never Time = math.MaxInt64
 
-// Add returns the time d after t; Never stays Never.
+// Add returns t+d, or Never if t is Never.
 func (t Time) Add(d time.Duration) Time {
 	if t == Never {
 		return Never
@@ -21,12 +21,12 @@
 	return t + Time(d)
 }
 
-// Sub returns how long after u the time t is.
+// Sub returns the duration t-u.
 func (t Time) Sub(u Time) time.Duration {
 	return time.Duration(t - u)
 }
 
-// Before reports whether t is earlier than u.
+// Before reports whether t is before u.
 func (t Time) Before(u Time) bool {
 	return t < u
 }
--- a/core/part/part_test.go
+++ b/core/part/part_test.go
@@ -10,7 +10,7 @@
 )
 
 func server(name string, home ident.Daemon, e ident.Epoch, standby ident.Daemon) SetServer {
-	return SetServer{Server: Server{ID: ident.MakeServer("svc", name), Home: home, Epoch: e, Standby: standby}}
+	return SetServer{Server: Server{ID: ident.ServerID("svc", name), Home: home, Epoch: e, Standby: standby}}
 }
 
 // sample has witnesses 1 2 3, servers a, b and c, and shards 0 to 69 owned by a.
--- a/core/place/draft.go
+++ b/core/place/draft.go
@@ -140,7 +140,7 @@
 			return part.SetWitnesses{Witnesses: d.witnesses}
 		}
 	case strings.HasPrefix(name, part.ServerPrefix):
-		return d.serverChange(ident.MakeServer(d.old.Service, strings.TrimPrefix(name, part.ServerPrefix)))
+		return d.serverChange(ident.ServerID(d.old.Service, strings.TrimPrefix(name, part.ServerPrefix)))
 	default:
 		var n int
 		if _, err := fmt.Sscanf(name, part.ShardsPrefix+"%d", &n); err == nil {
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -40,7 +40,7 @@
 	}
 	for i := range servers {
 		s.in.Service.Servers = append(s.in.Service.Servers, config.Server{
-			ID: ident.MakeServer("svc", fmt.Sprintf("s%02d", i)), Domain: domain(i % 3), Slots: 3,
+			ID: ident.ServerID("svc", fmt.Sprintf("s%02d", i)), Domain: domain(i % 3), Slots: 3,
 		})
 	}
 	for i := range 12 {
--- a/core/place/unheld_test.go
+++ b/core/place/unheld_test.go
@@ -15,7 +15,7 @@
 func TestServerThatNobodyHolds(t *testing.T) {
 	s := newSite(t, 6, 64)
 	s.run(3 * time.Second)
-	stuck := ident.MakeServer("svc", "s02")
+	stuck := ident.ServerID("svc", "s02")
 	before := s.in.Part.Servers[stuck]
 	s.run(time.Minute)
 	require.Equal(t, before, s.in.Part.Servers[stuck], "no lease seen at all")
--- a/core/route/errors.go
+++ b/core/route/errors.go
@@ -8,31 +8,34 @@
 	"heatherrouter/core/ident"
 )
 
-// Error is why a request matches nothing: *UnknownServiceError, *NoKindError, *WrongMethodError or *NoKeyError.
+// Error says why a request could not be matched. Its implementations are *UnknownServiceError, *NoKindError,
+// *WrongMethodError and *NoKeyError.
 type Error interface {
 	error
-	Reason() string // machine-readable, kebab case
+
+	// Reason returns a machine-readable reason in kebab case.
+	Reason() string
 	routeError()
 }
 
 type (
-	// UnknownServiceError says that no published service has the name.
+	// UnknownServiceError reports that no published service has the name.
 	UnknownServiceError struct {
 		Service ident.Service
 	}
 
-	// NoKindError says that no kind of the service has the path.
+	// NoKindError reports that no kind of the service matches the path.
 	NoKindError struct {
 		Service ident.Service
 	}
 
-	// WrongMethodError says that the path is known, but not with the method.
+	// WrongMethodError reports that some kind matches the path, but none of them allows the method.
 	WrongMethodError struct {
 		Service ident.Service
-		Allowed []string // sorted
+		Allowed []string // methods allowed for the path, sorted
 	}
 
-	// NoKeyError says that the request lacks the key that its service needs.
+	// NoKeyError reports that the request has no key, but its service requires one.
 	NoKeyError struct {
 		Service ident.Service
 		Source  config.KeySource
@@ -69,10 +72,10 @@
 }
 
 func (e *NoKeyError) Error() string {
-	return fmt.Sprintf("service %q needs a key in the %s", e.Service, place(e.Source))
+	return fmt.Sprintf("service %q needs a key in the %s", e.Service, keyLocation(e.Source))
 }
 
-func place(s config.KeySource) string {
+func keyLocation(s config.KeySource) string {
 	switch k := s.(type) {
 	case config.PathKey:
 		return fmt.Sprintf("path, segment %d after the service", k.Segment)
--- a/core/route/pick.go
+++ b/core/route/pick.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// staleAfter is the age from which a report says little about the load of now.
+	// staleAfter is the age above which a load report no longer describes the current load.
 	staleAfter = time.Second
 
-	// downFor is how long a report of down is believed. Reports come with answers only, so a server that is sent
-	// nothing is never heard of again: without an end, the first report of down would keep an entry from it for
-	// good, and with all of them down once, from the whole service. A request that tries it too early is refused
-	// by its home at once, as not run.
-	downFor = 500 * time.Millisecond
+	// downReportTTL is how long a server counts as down after a report says so. Reports arrive only with responses, so a
+	// server that gets no requests sends no further reports. If the state did not expire, one report would exclude the
+	// server at this entry daemon for ever, and reports for all servers would exclude the whole service. A request that
+	// is sent too early is harmless: the home daemon rejects it at once as not run.
+	downReportTTL = 500 * time.Millisecond
 
-	// slowPickEvery is how many picks there are for each one that ignores the slow flag. A straggler without any
-	// work could never show that it has recovered; one pick in 64 stays under the 99th percentile.
-	slowPickEvery = 64
+	// slowPickInterval is the number of picks for each one that ignores the slow flag. A slow server without requests
+	// could not show that it has recovered. One pick in 64 is too rare to raise the 99th percentile of latency.
+	slowPickInterval = 64
 )
 
-// Candidate is a backend server that may take a request, with what its home reports of it.
+// Candidate is a backend server that may get a request, with the last load report of its home daemon.
 type Candidate struct {
-	Server    ident.Server
-	Out       bool // drained, or without a home
-	Down      bool // as its home reported
-	Slow      bool
-	InFlight  int
-	Queued    int
-	OpenSlots int
-	At        mono.Time // when the report was received
-	Tried     bool      // an earlier send of the same request went there
+	Server     ident.Server
+	Excluded   bool // drained, or without a home daemon
+	Down       bool // reported as down
+	Slow       bool // reported as slower than the other servers
+	InFlight   int
+	Queued     int
+	OpenSlots  int       // 0 counts as an outdated report
+	ReportedAt mono.Time // when the report was received
+	Tried      bool      // whether an earlier attempt of the same request was sent to this server
 }
 
-// Pick chooses a server by two random choices and returns its index, or false when all are down.
-// It avoids tried and slow ones while there are others.
+// Pick chooses the less loaded of two random candidates and returns its index, or false if none is usable.
+// It chooses slow candidates only rarely, and tried ones only if there are no others.
 func Pick(now mono.Time, l []Candidate, random uint64) (int, bool) {
-	for worst := 0; worst <= rankTried; worst++ {
-		limit := worst
-		if limit == rankFast && random%slowPickEvery == 0 {
+	for maxRank := 0; maxRank <= rankTried; maxRank++ {
+		limit := maxRank
+		if limit == rankFast && random%slowPickInterval == 0 {
 			limit = rankSlow
 		}
 		if n := count(now, l, limit); n > 0 {
-			return pickOfTwo(now, l, limit, n, random/slowPickEvery), true
+			return pickOfTwo(now, l, limit, n, random/slowPickInterval), true
 		}
 	}
 	return 0, false
 }
 
-// Ranks of candidates: a higher one is only taken when there is none below.
+// Ranks of candidates. A candidate is chosen only if there is none of a lower rank, except for the picks that ignore the
+// slow flag.
 const (
 	rankFast = iota
 	rankSlow
@@ -58,9 +59,9 @@
 	rankDown
 )
 
-// Usable reports whether work may be sent to the server.
+// Usable reports whether requests may be sent to the server.
 func (c *Candidate) Usable(now mono.Time) bool {
-	return !c.Out && (!c.Down || now.Sub(c.At) >= downFor)
+	return !c.Excluded && (!c.Down || now.Sub(c.ReportedAt) >= downReportTTL)
 }
 
 func (c *Candidate) rank(now mono.Time) int {
@@ -75,6 +76,7 @@
 	return rankFast
 }
 
+// count returns the number of candidates whose rank is at most limit.
 func count(now mono.Time, l []Candidate, limit int) int {
 	n := 0
 	for i := range l {
@@ -85,7 +87,7 @@
 	return n
 }
 
-// pickOfTwo draws two of the n candidates up to the rank, and returns the less loaded one.
+// pickOfTwo draws two of the n candidates whose rank is at most limit and returns the index of the less loaded one.
 func pickOfTwo(now mono.Time, l []Candidate, limit, n int, random uint64) int {
 	a := int(random % uint64(n)) //nolint:gosec // below n
 	i := nth(now, l, limit, a)
@@ -104,7 +106,7 @@
 	return i
 }
 
-// nth returns the index of candidate n among those up to the rank.
+// nth returns the index of the n-th candidate, counted from 0, among those whose rank is at most limit.
 func nth(now mono.Time, l []Candidate, limit, n int) int {
 	for i := range l {
 		if l[i].rank(now) > limit {
@@ -118,12 +120,12 @@
 	return 0
 }
 
-// load is work per open slot. A stale report counts as at least one full server: an idle one that isn't
-// heard of would else draw all the work, and a full one that is heard of is the safer choice only when it
-// has a queue.
+// load returns the number of requests per open slot. Without an up-to-date report it is at least 1, the load of a server
+// whose slots are all busy. Otherwise a server that sends no reports but was idle in its last one would get all requests.
+// A server with a current report is thus preferred unless it has a queue.
 func (c *Candidate) load(now mono.Time) float64 {
 	x := float64(c.InFlight+c.Queued) / float64(max(c.OpenSlots, 1))
-	if c.OpenSlots == 0 || now.Sub(c.At) > staleAfter {
+	if c.OpenSlots == 0 || now.Sub(c.ReportedAt) > staleAfter {
 		x = max(x, 1)
 	}
 	return x
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,4 +1,4 @@
-// Package route finds the service, kind of request and shard that a caller's request belongs to.
+// Package route maps a caller's request to its service, kind of request and shard, and picks a backend server for it.
 package route
 
 import (
@@ -12,7 +12,7 @@
 	"heatherrouter/core/ident"
 )
 
-// Table matches requests with the published services. It never changes once it is built, so it may be shared.
+// Table matches requests with the published services. It is immutable and safe for concurrent use.
 type Table struct {
 	services map[string]*service
 }
@@ -29,7 +29,7 @@
 	pattern config.Pattern
 }
 
-// Match tells how a request is to be treated. Rest and Key alias the bytes that were handed in.
+// Match is the result of matching a request. Rest and Key alias the arguments of Table.Match.
 type Match struct {
 	Service *config.Service
 	Kind    *config.Kind
@@ -39,7 +39,7 @@
 	Shard   ident.Shard
 }
 
-// New compiles the services.
+// New returns a table of the services. They must have been accepted by config.Parse and must not change afterwards.
 func New(services []*config.Service) *Table {
 	t := &Table{services: make(map[string]*service, len(services))}
 	for _, s := range services {
@@ -52,7 +52,7 @@
 	return t
 }
 
-// Service returns the service of the name, or nil.
+// Service returns the service with this name, or nil.
 func (t *Table) Service(n ident.Service) *config.Service {
 	if s := t.services[string(n)]; s != nil {
 		return s.config
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// Match finds the first kind, in the order of the service file, that has the method and path.
+// Match finds the first kind, in the order of the service file, that matches the method and path.
 //
-// The path has to be decoded and normalized: two spellings of one key would otherwise hash to two shards,
-// and the key would have two owners. An error is always one of the sealed Error types.
+// The path must be decoded and normalized: two encodings of one key would otherwise hash to two shards,
+// and the key would have two owners. The error, if any, implements Error.
 func (t *Table) Match(method, path []byte, query, header func(name string) []byte) (Match, error) {
 	name, rest := cutService(path)
 	s := t.services[string(name)]
@@ -88,7 +88,7 @@
 }
 
 func (s *service) kind(method, rest []byte) (*config.Kind, error) {
-	known := false
+	pathMatched := false
 	for i := range s.kinds {
 		k := &s.kinds[i]
 		if !k.pattern.Match(rest) {
@@ -99,14 +99,15 @@
 				return k.config, nil
 			}
 		}
-		known = true
+		pathMatched = true
 	}
-	if !known {
+	if !pathMatched {
 		return nil, s.noKind
 	}
 	return nil, &WrongMethodError{Service: s.config.Name, Allowed: s.allowed(rest)}
 }
 
+// allowed returns the methods of all kinds that match the path, sorted and without duplicates.
 func (s *service) allowed(rest []byte) []string {
 	var l []string
 	for i := range s.kinds {
@@ -130,18 +131,18 @@
 	return nil
 }
 
-// HashOf returns the hash of a key; every daemon has to agree on it.
+// HashOf returns the hash of a key. All daemons must use the same function, since it determines a key's shard.
 func HashOf(key []byte) ident.Hash {
 	return ident.Hash(xxhash.Sum64(key))
 }
 
-// ShardOf returns which of n equal cuts of the hash space the hash lies in.
+// ShardOf returns the shard of a hash when the hash space is divided into n equal ranges.
 func ShardOf(h ident.Hash, n int) ident.Shard {
 	hi, _ := bits.Mul64(uint64(h), uint64(max(n, 1)))
 	return ident.Shard(hi) //nolint:gosec // below n
 }
 
-// cutService splits "/service/rest" into "service" and "/rest".
+// cutService splits "/service/rest" into "service" and "/rest". The results are nil where there is no such part.
 func cutService(path []byte) (name, rest []byte) {
 	if len(path) == 0 || path[0] != '/' {
 		return nil, nil
@@ -154,7 +155,7 @@
 	return p[:i], p[i:]
 }
 
-// segment returns segment i of "/a/b/c", or nil.
+// segment returns segment i, counted from 0, of a path such as "/a/b/c", or nil.
 func segment(rest []byte, i int) []byte {
 	for len(rest) > 0 {
 		rest = rest[1:]
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -13,7 +13,7 @@
 	"heatherrouter/core/mono"
 )
 
-func none(string) []byte { return nil }
+func noValue(string) []byte { return nil }
 
 func table() *Table {
 	return New([]*config.Service{
@@ -73,7 +73,8 @@
 	}
 }
 
-// Kinds are tried in the order of the service file, and a path has exactly the segments that its pattern names.
+// Guards the order of matching, which is that of the service file, and the number of segments: a path must have exactly
+// those of its pattern.
 func TestMatchPatterns(t *testing.T) {
 	b := New([]*config.Service{{Name: "svc", Kinds: []config.Kind{
 		{Name: "one", Methods: []string{"GET"}, Path: "/a/*"},
@@ -96,9 +97,9 @@
 		{"PUT", "/a/x", ""},
 	} {
 		t.Run(x.method+" "+x.path, func(t *testing.T) {
-			m, err := b.Match([]byte(x.method), []byte("/svc"+x.path), none, none)
+			m, err := b.Match([]byte(x.method), []byte("/svc"+x.path), noValue, noValue)
 			if x.want == "" {
-				// The last pattern takes any path, so that only the method can be wrong.
+				// The last pattern matches any path, so only the method can be wrong.
 				var w *WrongMethodError
 				require.ErrorAs(t, err, &w)
 				return
@@ -110,13 +111,13 @@
 }
 
 func TestMatchErrors(t *testing.T) {
-	_, err := table().Match([]byte("DELETE"), []byte("/roosterzicht/rooster/a"), none, none)
+	_, err := table().Match([]byte("DELETE"), []byte("/roosterzicht/rooster/a"), noValue, noValue)
 	var w *WrongMethodError
 	require.ErrorAs(t, err, &w)
 	require.Equal(t, []string{"GET", "POST", "PUT"}, w.Allowed)
 	for _, path := range []string{"/tabelid/x", "/parandused"} {
 		method := map[string]string{"/tabelid/x": "GET", "/parandused": "POST"}[path]
-		_, err = table().Match([]byte(method), []byte(path), none, none)
+		_, err = table().Match([]byte(method), []byte(path), noValue, noValue)
 		var k *NoKeyError
 		require.ErrorAs(t, err, &k)
 	}
@@ -125,13 +126,13 @@
 func TestMatchAllocatesNothing(t *testing.T) {
 	b, method, path := table(), []byte("PUT"), []byte("/roosterzicht/rooster/ams-1")
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		if _, err := b.Match(method, path, none, none); err != nil {
+		if _, err := b.Match(method, path, noValue, noValue); err != nil {
 			panic(err)
 		}
 	}))
 }
 
-// Shards are ranges in the order of the hash, without gap, and of equal size but for one.
+// Guards against shards that are not contiguous ranges in the order of the hash, or differ in size by more than one hash.
 func TestShardOf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1<<20).Draw(t, "n")
@@ -147,18 +148,18 @@
 	require.Equal(t, ident.Shard(3), ShardOf(1<<64-1, 4))
 }
 
-// mix is splitmix64, a cheap source of numbers for tests that need a fixed seed.
-func mix(x uint64) uint64 {
+// splitmix64 is the SplitMix64 generator. It gives reproducible pseudo-random numbers.
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func picks(l []Candidate, n int) map[ident.Server]int {
+func countPicks(l []Candidate, n int) map[ident.Server]int {
 	m := map[ident.Server]int{}
 	for i := range n {
-		if j, ok := Pick(mono.Time(1e9), l, mix(uint64(i))); ok {
+		if j, ok := Pick(mono.Time(1e9), l, splitmix64(uint64(i))); ok {
 			m[l[j].Server]++
 		}
 	}
@@ -168,7 +169,7 @@
 func candidates(n int) []Candidate {
 	l := make([]Candidate, n)
 	for i := range l {
-		l[i] = Candidate{Server: ident.Server(fmt.Sprint("s/", i)), OpenSlots: 3, At: mono.Time(1e9)}
+		l[i] = Candidate{Server: ident.Server(fmt.Sprint("s/", i)), OpenSlots: 3, ReportedAt: mono.Time(1e9)}
 	}
 	return l
 }
@@ -176,56 +177,56 @@
 func TestPick(t *testing.T) {
 	const n = 20000
 	l := candidates(5)
-	for s, got := range picks(l, n) {
+	for s, got := range countPicks(l, n) {
 		require.InDelta(t, n/5, got, n/50, "%v", s)
 	}
 	l[0].Down = true
 	l[1].Slow = true
 	l[2].InFlight, l[2].Queued = 3, 9
-	m := picks(l, n)
+	m := countPicks(l, n)
 	require.Zero(t, m["s/0"])
-	require.NotZero(t, m["s/1"], "a straggler gets a trickle, to show that it has recovered")
+	require.NotZero(t, m["s/1"], "a slow server gets a few requests, so that its recovery is noticed")
 	require.Less(t, m["s/1"], n/100)
-	require.Less(t, m["s/2"], n/100, "the loaded one loses each choice of two")
+	require.Less(t, m["s/2"], n/100, "the loaded server is never the less loaded of two")
 	l[3].Tried, l[4].Tried = true, true
-	m = picks(l, n)
+	m = countPicks(l, n)
 	require.Equal(t, n, m["s/2"]+m["s/1"])
 	for i := range l {
 		l[i].Down = true
 	}
-	require.Empty(t, picks(l, 10))
-	require.Empty(t, picks(nil, 10))
+	require.Empty(t, countPicks(l, 10))
+	require.Empty(t, countPicks(nil, 10))
 	l[4].Down = false
-	require.Equal(t, 10, picks(l, 10)["s/4"], "the last one left, though tried")
+	require.Equal(t, 10, countPicks(l, 10)["s/4"], "the only usable server is chosen although it was tried")
 }
 
-// A server that nobody hears from reports no load for ever; it must not draw all work for that.
-func TestPickDistrustsStaleReports(t *testing.T) {
+// Guards against a server that was idle in its last report, sends no reports any more, and therefore gets all requests.
+func TestPickDiscountsStaleReports(t *testing.T) {
 	l := candidates(2)
-	l[0].At = 0
-	l[0].At = mono.Time(1e9).Add(-2 * staleAfter)
+	l[0].ReportedAt = 0
+	l[0].ReportedAt = mono.Time(1e9).Add(-2 * staleAfter)
 	l[1].InFlight = 1
-	require.Equal(t, 100, picks(l, 100)["s/1"])
+	require.Equal(t, 100, countPicks(l, 100)["s/1"])
 	l[1].Queued = 5
-	require.Equal(t, 100, picks(l, 100)["s/0"])
+	require.Equal(t, 100, countPicks(l, 100)["s/0"])
 }
 
-// An entry that heard of a server as down sends it nothing, so it hears nothing of its return either. The report has
-// to lapse by itself; a drained server stays out.
-func TestPickForgetsDown(t *testing.T) {
+// Guards against a server that stays excluded after it has recovered. An entry daemon sends no requests to a server that
+// was reported as down, so it gets no new report; the old one must expire. A drained server stays excluded.
+func TestPickExpiresDownReports(t *testing.T) {
 	l := candidates(2)
-	l[0].Down, l[1].Out = true, true
-	l[0].At, l[1].At = mono.Time(1e9).Add(time.Millisecond-downFor), 0
-	require.Empty(t, picks(l, 100))
-	l[0].At = mono.Time(1e9).Add(-downFor)
-	require.Equal(t, 100, picks(l, 100)["s/0"])
+	l[0].Down, l[1].Excluded = true, true
+	l[0].ReportedAt, l[1].ReportedAt = mono.Time(1e9).Add(time.Millisecond-downReportTTL), 0
+	require.Empty(t, countPicks(l, 100))
+	l[0].ReportedAt = mono.Time(1e9).Add(-downReportTTL)
+	require.Equal(t, 100, countPicks(l, 100)["s/0"])
 }
 
 func BenchmarkMatch(b *testing.B) {
 	x, method, path := table(), []byte("PUT"), []byte("/roosterzicht/rooster/ams-1")
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _ = x.Match(method, path, none, none)
+		_, _ = x.Match(method, path, noValue, noValue)
 	}
 }
 
@@ -235,6 +236,6 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		Pick(0, l, mix(i))
+		Pick(0, l, splitmix64(i))
 	}
 }
--- a/core/site/organisation.go
+++ b/core/site/organisation.go
@@ -17,7 +17,7 @@
 	Limit    Limit
 	Priority int // 0 is the highest; overrides the route's priority if HasPriority is set
 
-	HasPriority bool
+	HasPriority bool // whether Priority is set
 }
 
 // Limit is the rate limit shared by all callers of an organisation: Rate requests a second on average, with bursts of up to
@@ -50,7 +50,7 @@
 // Organisations returns all organisations by name.
 func (c *Config) Organisations() map[ident.Organisation]*Organisation { return c.organisations }
 
-// OrganisationByKey returns the organisation that the key belongs to, or nil.
+// OrganisationByKey returns the organisation that owns the API key with this digest, or nil.
 func (c *Config) OrganisationByKey(d KeyDigest) *Organisation { return c.keyOwners[d] }
 
 func (c *Config) addOrganisation(o *Organisation) check.Findings {
--- a/core/site/organisation_bench_test.go
+++ b/core/site/organisation_bench_test.go
@@ -7,7 +7,7 @@
 	"heatherrouter/core/ident"
 )
 
-// BenchmarkManyOrganisations builds the lookups of 10,000 organisations with 100,000 keys, as each change of one key does.
+// BenchmarkManyOrganisations builds the lookups of 10,000 organisations with 100,000 keys, which each change of a key repeats.
 func BenchmarkManyOrganisations(b *testing.B) {
 	keys := make([][]byte, 100_000)
 	for i := range keys {
--- a/core/site/route.go
+++ b/core/site/route.go
@@ -10,7 +10,7 @@
 	"heatherrouter/core/ident"
 )
 
-// NewConfig checks and builds a configuration. The error holds all findings.
+// NewConfig validates and builds a configuration. The error is a check.Findings that lists all findings.
 func NewConfig(v Version, services []*Service, routes []*Route, organisations []*Organisation, l Limits) (*Config, error) {
 	c := &Config{
 		Version: v, Services: map[ident.Service]*Service{}, Limits: l, hosts: map[string][]*Route{},
@@ -22,14 +22,14 @@
 	var found check.Findings
 	for _, r := range routes {
 		found = append(found, c.checkRoute(r)...)
-		h := HostName(r.Host)
+		h := NormalizeHost(r.Host)
 		c.hosts[h] = append(c.hosts[h], r)
 	}
 	for _, o := range organisations {
 		found = append(found, c.addOrganisation(o)...)
 	}
-	if l.HeaderBytes <= 0 || l.BodyBytes <= 0 || l.HeaderTime <= 0 || l.IdleTime <= 0 {
-		found = append(found, check.Finding{Message: "limits must be above zero"})
+	if l.MaxHeaderBytes <= 0 || l.MaxBodyBytes <= 0 || l.HeaderTimeout <= 0 || l.IdleTimeout <= 0 {
+		found = append(found, check.Finding{Message: "limits must be positive"})
 	}
 	if len(found) > 0 {
 		return nil, found
@@ -59,26 +59,26 @@
 	}
 	for _, p := range r.Parts {
 		if c.Services[p.Service] == nil {
-			add("names the unknown service " + string(p.Service))
+			add("refers to the unknown service " + string(p.Service))
 		}
 		if p.Weight < 0 || math.IsNaN(p.Weight) {
-			add("has a weight below zero")
+			add("has a weight that is negative or not a number")
 		}
 	}
 	return l
 }
 
-// HostName returns a host as routes are looked up by: in lower case and without its port.
-func HostName(h string) string {
+// NormalizeHost returns a host in the form in which routes are looked up: in lower case and without its port.
+func NormalizeHost(h string) string {
 	if i := strings.LastIndexByte(h, ':'); i >= 0 && !strings.HasSuffix(h, "]") {
 		h = h[:i]
 	}
 	return strings.ToLower(h)
 }
 
-// Route returns the route with the longest prefix that begins the path, or nil.
+// Route returns the route of the host with the longest prefix of the path, or nil.
 func (c *Config) Route(host, path string) *Route {
-	for _, r := range c.hosts[HostName(host)] {
+	for _, r := range c.hosts[NormalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Routes returns how many routes there are.
-func (c *Config) Routes() int {
+// RouteCount returns the number of routes.
+func (c *Config) RouteCount() int {
 	n := 0
 	for _, l := range c.hosts {
 		n += len(l)
@@ -95,8 +95,8 @@
 	return n
 }
 
-// Sends reports whether requests on the route may go to the service.
-func (r *Route) Sends(n ident.Service) bool {
+// RoutesTo reports whether requests on the route may go to the service: its part has a weight, or is the only one.
+func (r *Route) RoutesTo(n ident.Service) bool {
 	return slices.ContainsFunc(r.Parts, func(p Part) bool { return p.Service == n && (p.Weight > 0 || len(r.Parts) == 1) })
 }
 
--- a/core/site/site.go
+++ b/core/site/site.go
@@ -1,5 +1,5 @@
-// Package site is the model of one deployment as its daemons see it: the routes and services that operators put into
-// force, the backend servers that are there, and which of them holds which keys.
+// Package site models one deployment as its daemons see it: the routes and services of the configuration in force, the
+// registered backend servers and daemons, and the coordinator.
 package site
 
 import (
@@ -11,40 +11,41 @@
 	"heatherrouter/core/mono"
 )
 
-// Version numbers the configurations of operators; they grow, in uneven steps.
+// Version is the number of a configuration. Later configurations have higher numbers; numbers may be skipped.
 type Version uint64
 
-// Config is one configuration as its operator wrote it. It never changes once it is built.
+// Config is one configuration as its operator wrote it. It is immutable once it is built.
 type Config struct {
 	Version  Version
 	Services map[ident.Service]*Service
 	Limits   Limits
 
-	hosts         map[string][]*Route // by host, the longest prefix first
+	hosts         map[string][]*Route // routes of each host, the longest prefix first
 	organisations map[ident.Organisation]*Organisation
 	keyOwners     map[KeyDigest]*Organisation
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size of a caller's requests and the time in which it must send them.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int
-	HeaderTime  time.Duration // from the first byte of a head to its last
-	IdleTime    time.Duration // between two requests on one connection
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	HeaderTimeout  time.Duration // longest time from the first to the last byte of a request's header
+	IdleTimeout    time.Duration // longest time between two requests on one connection
 }
 
-// DefaultLimits hold before a daemon knows any configuration: it answers that it doesn't, and needs no large heads.
+// DefaultLimits returns the limits that apply before a daemon has a configuration. It rejects all requests until then, so
+// small headers suffice.
 func DefaultLimits() Limits {
-	return Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTime: 3 * time.Second, IdleTime: 15 * time.Second}
+	return Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 }
 
-// Service is one routed service.
+// Service is a service to which requests are routed.
 type Service struct {
 	Name       ident.Service
 	HealthPath string
-	Conns      int     // that one backend server accepts from all daemons together
-	WarmRate   float64 // requests a second that a cold backend server carries, from all daemons together
-	Keyed      bool    // each key is held by one backend server
+	MaxConns   int     // connections that one backend server accepts from all daemons together
+	WarmupRate float64 // requests a second that a cold backend server can serve, from all daemons together
+	Keyed      bool    // whether each key is owned by one backend server
 }
 
 // Route is the policy for the requests under one prefix of one host.
@@ -52,12 +53,12 @@
 	Name           string
 	Host           string
 	Prefix         string // begins and ends with a slash
-	Idempotent     bool   // may run more than once
+	Idempotent     bool   // whether a request may run more than once
 	Timeout        time.Duration
-	Target         time.Duration // an answer within it is worth most to its caller
-	Attempts       int           // backend servers to which one request may be sent
+	TargetLatency  time.Duration // desired response time; a slower response is worth less to the caller
+	MaxAttempts    int           // most backend servers to which one request may be sent
 	Priority       int           // 0 is the highest
-	AllowAnonymous bool          // serves callers without a valid API key, too
+	AllowAnonymous bool          // whether callers without a valid API key are served
 	Parts          []Part
 }
 
@@ -67,7 +68,7 @@
 	Weight  float64
 }
 
-// Server is one life of a backend server, as it announced itself.
+// Server is one incarnation of a backend server, as it registered itself.
 type Server struct {
 	ID        ident.Server
 	Service   ident.Service
@@ -75,47 +76,47 @@
 	Domain    ident.Domain
 	Slots     int
 	Draining  bool
-	Born      int64 // names the life: Unix milliseconds of its start
+	Born      int64 // start time in Unix milliseconds; identifies the incarnation
 	ColdUntil mono.Time
 }
 
-// Daemon is one daemon as it announced itself to its peers.
+// Daemon is one daemon, as it registered itself with its peers.
 type Daemon struct {
 	Name        ident.Daemon
 	Domain      ident.Domain
 	Peer        netip.AddrPort
 	Incarnation ident.Incarnation
-	Capacity    int      // of its processor, in thousandths of a core
-	Fingerprint [32]byte // SHA-256 of the certificate that it made at its start
+	Capacity    int      // CPU capacity in thousandths of a core
+	Fingerprint [32]byte // SHA-256 digest of the certificate that the daemon generated when it started
 }
 
-// Term numbers the coordinators of the site, one after the other.
+// Term is the number of a coordinator's term of office. Each new coordinator has a higher term.
 type Term uint64
 
-// Coordinator is the daemon whose turn it is to move keys between backend servers.
+// Coordinator is the daemon that has the coordinator role: it assigns keys to backend servers.
 type Coordinator struct {
 	Daemon        ident.Daemon
 	Incarnation   ident.Incarnation
 	Term          Term
-	Clean         bool // the coordinator before had surely stopped
-	WithoutQuorum bool // it doesn't need the support of a quorum
+	Clean         bool // whether the previous coordinator is guaranteed to have stopped
+	WithoutQuorum bool // whether the coordinator may act without the support of a quorum
 }
 
-// Snapshot is all that a daemon knows at one moment. It never changes once it is built.
+// Snapshot is the state of the site as a daemon knows it at one moment. It is immutable once it is built.
 type Snapshot struct {
-	Config      *Config // nil until the first one is known
+	Config      *Config // nil until a configuration is loaded
 	Servers     map[ident.Server]*Server
 	Evacuated   map[ident.Domain]bool
 	Daemons     map[ident.Daemon]*Daemon
 	Coordinator Coordinator
-	Voters      []ident.Daemon // whose majority the coordinator needs; none where its row names none
-	Crashes     crash.Records  // requests under which servers crashed
+	Voters      []ident.Daemon // daemons of which the coordinator needs a majority; empty if its row names none
+	Crashes     crash.Records  // requests during which servers crashed
 
 	services map[ident.Service][]*Server
 }
 
-// Finish builds the lookups of a snapshot whose fields are set.
-func (s *Snapshot) Finish() *Snapshot {
+// BuildIndex builds the lookup by service from the exported fields and returns s. It must be called before ServersOf.
+func (s *Snapshot) BuildIndex() *Snapshot {
 	s.services = map[ident.Service][]*Server{}
 	for _, x := range s.Servers {
 		s.services[x.Service] = append(s.services[x.Service], x)
@@ -126,14 +127,14 @@
 	return s
 }
 
-// Service returns the backend servers of a service, ordered by their ids.
-func (s *Snapshot) Service(n ident.Service) []*Server {
+// ServersOf returns the backend servers of a service, ordered by id.
+func (s *Snapshot) ServersOf(n ident.Service) []*Server {
 	return s.services[n]
 }
 
-// Takes reports whether new work may be sent to the server: it is still announced in that life, it stays, and its
-// failure domain isn't evacuated.
-func (s *Snapshot) Takes(x *Server) bool {
-	now := s.Servers[x.ID]
-	return now != nil && now.Born == x.Born && now.Addr == x.Addr && !now.Draining && !s.Evacuated[now.Domain]
+// Accepts reports whether new requests may be sent to the server: this incarnation is still registered, it isn't draining,
+// and its failure domain isn't evacuated.
+func (s *Snapshot) Accepts(x *Server) bool {
+	current := s.Servers[x.ID]
+	return current != nil && current.Born == x.Born && current.Addr == x.Addr && !current.Draining && !s.Evacuated[current.Domain]
 }
--- a/core/site/site_test.go
+++ b/core/site/site_test.go
@@ -45,12 +45,12 @@
 	require.ErrorContains(t, err, "unknown service gone")
 }
 
-// A request that was sent to a part goes to another one on its next try, or to one that the operator has taken all weight
-// from.
-func TestSends(t *testing.T) {
+// Guards against retries that are sent to a part whose weight the operator has set to 0. Only a route's sole part may have
+// no weight.
+func TestRoutesTo(t *testing.T) {
 	r := route("r", "x", "/", Part{Service: "a", Weight: 90}, Part{Service: "b", Weight: 0})
-	require.True(t, r.Sends("a"))
-	require.False(t, r.Sends("b"))
-	require.False(t, r.Sends("c"))
-	require.True(t, route("r", "x", "/", Part{Service: "a"}).Sends("a"))
+	require.True(t, r.RoutesTo("a"))
+	require.False(t, r.RoutesTo("b"))
+	require.False(t, r.RoutesTo("c"))
+	require.True(t, route("r", "x", "/", Part{Service: "a"}).RoutesTo("a"))
 }
--- a/io/coord/coord.go
+++ b/io/coord/coord.go
@@ -331,7 +331,7 @@
 func (x *Coordinator) read(c context.Context, d *duty) error {
 	y, cancel := context.WithTimeout(c, readLimit)
 	defer cancel()
-	if err := x.o.Store.Refresh(y, ident.PartDoc(d.service)); err != nil {
+	if err := x.o.Store.Refresh(y, ident.AssignmentsDoc(d.service)); err != nil {
 		return err
 	}
 	x.mu.Lock()
@@ -365,7 +365,7 @@
 func (x *Coordinator) commit(c context.Context, d *duty, from ident.Rev, y place.Decision) error {
 	z, cancel := context.WithTimeout(c, commitLimit)
 	defer cancel()
-	rev, err := x.o.Store.Commit(z, ident.PartDoc(d.service), from, newTxn(), rows.Encode(y.Changes))
+	rev, err := x.o.Store.Commit(z, ident.AssignmentsDoc(d.service), from, newTxn(), rows.Encode(y.Changes))
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
 		// Somebody else's transaction came first: look at it and plan anew.
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -174,7 +174,7 @@
 }
 
 func partDoc(t *testing.T, s ident.Service) *docs.Doc {
-	id := ident.MakeServer(s, "s1")
+	id := ident.ServerID(s, "s1")
 	changes := []part.Change{
 		part.SetWitnesses{Witnesses: part.Witnesses{Current: []ident.Daemon{"h01"}}},
 		part.SetServer{Server: part.Server{ID: id, Home: "h01", Epoch: 1}},
@@ -186,7 +186,7 @@
 		}
 		changes = append(changes, part.SetShards{Owners: o})
 	}
-	d := docs.New(ident.PartDoc(s))
+	d := docs.New(ident.AssignmentsDoc(s))
 	d.Rev = 1
 	for _, c := range rows.Encode(changes) {
 		d.Rows[c.Row] = docs.Row{Rev: 1, Body: c.Body}
--- a/io/entry/pick.go
+++ b/io/entry/pick.go
@@ -95,7 +95,7 @@
 	defer l.mu.Unlock()
 	mine := int(l.mine.Load())
 	return route.Candidate{
-		Server: s, Slow: l.report.GetSlow(), Down: l.report.GetDown(), At: l.at,
+		Server: s, Slow: l.report.GetSlow(), Down: l.report.GetDown(), ReportedAt: l.at,
 		InFlight:  max(int(l.report.GetInFlight()), mine),
 		Queued:    int(l.report.GetQueued()),
 		OpenSlots: max(1, int(l.report.GetOpenSlots())),
@@ -216,7 +216,7 @@
 	row, ok := p.Server(v.ID)
 	c.Tried = t.server(v.ID)
 	if !ok || row.State != part.Active || s.Config.ServerDrained(v) {
-		c.Out = true
+		c.Excluded = true
 	}
 	return c
 }
--- a/io/feed/draft.go
+++ b/io/feed/draft.go
@@ -108,7 +108,7 @@
 		}
 		d.s.Config = x.Config
 		d.o.Log.Info().Uint64("version", uint64(x.Config.Version)).Uint64("rev", uint64(r.Rev)).
-			Int("routes", x.Config.Routes()).Str("from", d.from.from).Dur("copy-age", d.from.age).Msg("configuration in force")
+			Int("routes", x.Config.RouteCount()).Str("from", d.from.from).Dur("copy-age", d.from.age).Msg("configuration in force")
 	case Evacuate:
 		d.s.Evacuated[x.Domain] = true
 		d.o.Log.Info().Str("domain", string(x.Domain)).Uint64("rev", uint64(r.Rev)).Msg("domain evacuated")
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -128,7 +128,7 @@
 		sources: source.New(o.Self, rand.IntN),
 		snapshot: (&site.Snapshot{
 			Servers: map[ident.Server]*site.Server{}, Evacuated: map[ident.Domain]bool{}, Daemons: map[ident.Daemon]*site.Daemon{},
-		}).Finish(),
+		}).BuildIndex(),
 	}
 	for t := range f.tables {
 		f.tables[t] = newTable()
@@ -424,7 +424,7 @@
 	}
 	d.logServers(f.tables[t].rev)
 	was := f.snapshot.Coordinator
-	f.snapshot = d.s.Finish()
+	f.snapshot = d.s.BuildIndex()
 	if c := f.snapshot.Coordinator; c.Term != was.Term || c.Daemon != was.Daemon || c.Incarnation != was.Incarnation {
 		f.heard = f.o.Clock.Now()
 		f.support.Reset()
--- a/io/front/conn.go
+++ b/io/front/conn.go
@@ -57,7 +57,7 @@
 var errLeft = errors.New("the caller has left")
 
 func newConn(f *Front, n net.Conn) *conn {
-	c := &conn{front: f, net: n, br: bufio.NewReaderSize(n, f.o.Limits().HeaderBytes), ahead: make(chan struct{}, maxAhead)}
+	c := &conn{front: f, net: n, br: bufio.NewReaderSize(n, f.o.Limits().MaxHeaderBytes), ahead: make(chan struct{}, maxAhead)}
 	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	return c
 }
@@ -98,7 +98,7 @@
 	c.setIdle(true)
 	defer c.setIdle(false)
 	for {
-		idle := c.front.o.Limits().IdleTime
+		idle := c.front.o.Limits().IdleTimeout
 		if c.ended() {
 			idle = lingerTime
 		}
@@ -124,7 +124,7 @@
 // read reads one request. With an error, the status is the answer to give, or 0 for none.
 func (c *conn) read(req *fasthttp.Request) (status int, err error) {
 	l := c.front.o.Limits()
-	if err := c.net.SetReadDeadline(time.Now().Add(l.HeaderTime)); err != nil {
+	if err := c.net.SetReadDeadline(time.Now().Add(l.HeaderTimeout)); err != nil {
 		return 0, err
 	}
 	if err := req.Header.Read(c.br); err != nil {
@@ -138,7 +138,7 @@
 			return 0, err
 		}
 	}
-	if err := req.ContinueReadBody(c.br, l.BodyBytes, false); err != nil {
+	if err := req.ContinueReadBody(c.br, l.MaxBodyBytes, false); err != nil {
 		return bodyStatus(err), err
 	}
 	return 0, nil
--- a/io/grant/service.go
+++ b/io/grant/service.go
@@ -139,7 +139,7 @@
 func (g *Granter) mustMove(s *site.Snapshot, x *service) bool {
 	for _, p := range x.table.Pieces() {
 		o := s.Servers[p.Owner.Server]
-		if (o == nil || !s.Takes(o) || x.table.HasEnded(p.Owner)) && p.Previous == (hold.Life{}) {
+		if (o == nil || !s.Accepts(o) || x.table.HasEnded(p.Owner)) && p.Previous == (hold.Life{}) {
 			return true
 		}
 	}
@@ -149,9 +149,9 @@
 // targets returns the servers that may hold keys. One that has ended is announced for seconds more.
 func (g *Granter) targets(s *site.Snapshot, v *service, now mono.Time) []hold.Target {
 	var l []hold.Target
-	for _, x := range s.Service(v.name) {
+	for _, x := range s.ServersOf(v.name) {
 		life := hold.Life{Server: x.ID, Born: x.Born}
-		if s.Takes(x) && !v.table.HasEnded(life) {
+		if s.Accepts(x) && !v.table.HasEnded(life) {
 			l = append(l, hold.Target{
 				Life: life, Cold: now.Before(x.ColdUntil), Slots: x.Slots, Work: g.rates.work(now, v.name, x.ID),
 			})
--- a/io/publ/drains.go
+++ b/io/publ/drains.go
@@ -97,7 +97,7 @@
 	c, _ := rowcfg.Read(d)
 	switch t := t.(type) {
 	case config.ServerTarget:
-		return c.Find(t.Name) != nil
+		return c.FindServer(t.Name) != nil
 	case config.DaemonTarget:
 		return p.hosts.HasDaemon(t.Name)
 	case config.DomainTarget:
--- a/io/publ/publ_test.go
+++ b/io/publ/publ_test.go
@@ -50,7 +50,7 @@
 	c, f := rowcfg.Read(d.Get(ident.ConfigDoc))
 	require.Empty(t, f)
 	require.Len(t, c.Services, 1)
-	require.Equal(t, uint16(3), c.Find("a/s").Addr.Port())
+	require.Equal(t, uint16(3), c.FindServer("a/s").Addr.Port())
 }
 
 func TestPublishFindings(t *testing.T) {
@@ -106,7 +106,7 @@
 	_, err = p.Publish(t.Context(), publishOf(0, "txn-bert02", service("a", 2)))
 	require.ErrorAs(t, err, new(*admin.ConflictError))
 	c, _ := rowcfg.Read(d.Get(ident.ConfigDoc))
-	require.Equal(t, uint16(1), c.Find("a/s").Addr.Port())
+	require.Equal(t, uint16(1), c.FindServer("a/s").Addr.Port())
 }
 
 // The table takes the publish, but its reply is lost, and another operator publishes on top. The client asks
@@ -132,7 +132,7 @@
 	require.Equal(t, ident.Rev(1), got.Rev)
 	require.Equal(t, 2, d.Commits())
 	c, _ := rowcfg.Read(d.Get(ident.ConfigDoc))
-	require.Equal(t, uint16(3), c.Find("b/s").Addr.Port())
+	require.Equal(t, uint16(3), c.FindServer("b/s").Addr.Port())
 }
 
 func TestPublishTooMuch(t *testing.T) {
--- a/io/rowcfg/rowcfg.go
+++ b/io/rowcfg/rowcfg.go
@@ -23,10 +23,10 @@
 	var f check.Findings
 	for _, r := range d.Names("") {
 		b := d.Body(r)
-		if n, ok := config.RowService(r); ok {
+		if n, ok := config.ParseServiceRow(r); ok {
 			readService(c, &f, r, n, b)
 		}
-		if t, ok := config.RowTarget(r); ok {
+		if t, ok := config.ParseTargetRow(r); ok {
 			readDrain(c, &f, r, t, b)
 		}
 	}
--- a/io/rowcfg/rowcfg_test.go
+++ b/io/rowcfg/rowcfg_test.go
@@ -50,22 +50,22 @@
 	require.Equal(t, map[ident.Domain]config.Drain{"d1": drain}, c.Domains)
 	require.Equal(t, map[ident.Server]config.Drain{"a/s": drain}, c.Servers)
 	require.Equal(t, map[ident.Daemon]config.Drain{"hr-01": drain}, c.Daemons)
-	require.True(t, c.ServerDrained(c.Find("a/s")))
+	require.True(t, c.ServerDrained(c.FindServer("a/s")))
 	require.True(t, c.DaemonDrained("hr-02", "d1"))
 	require.False(t, c.DaemonDrained("hr-02", "d2"))
-	require.Nil(t, c.Find("b/s"))
+	require.Nil(t, c.FindServer("b/s"))
 }
 
 func TestTargets(t *testing.T) {
 	for _, tg := range []config.Target{
 		config.DomainTarget{Name: "d1"}, config.ServerTarget{Name: "a/s"}, config.DaemonTarget{Name: "hr-01"},
 	} {
-		got, ok := config.RowTarget(tg.Row())
+		got, ok := config.ParseTargetRow(tg.Row())
 		require.True(t, ok)
 		require.Equal(t, tg, got)
 	}
 	for _, r := range []ident.Row{"", "drain/domain/", "drain/x/y", "service/a"} {
-		_, ok := config.RowTarget(r)
+		_, ok := config.ParseTargetRow(r)
 		require.False(t, ok, r)
 	}
 }
--- a/io/rows/rows.go
+++ b/io/rows/rows.go
@@ -88,14 +88,14 @@
 func (r *reader) id(short string) ident.Server {
 	id, ok := r.ids[short]
 	if !ok {
-		id = ident.MakeServer(r.p.Service, short)
+		id = ident.ServerID(r.p.Service, short)
 		r.ids[short] = id
 	}
 	return id
 }
 
 func (r *reader) addf(n ident.Row, format string, args ...any) {
-	r.f.Addf(check.Place{File: string(ident.PartDoc(r.p.Service)), Key: string(n)}, format, args...)
+	r.f.Addf(check.Place{File: string(ident.AssignmentsDoc(r.p.Service)), Key: string(n)}, format, args...)
 }
 
 func (r *reader) unmarshal(n ident.Row, body []byte, m proto.Message) bool {
@@ -142,7 +142,7 @@
 		r.addf(n, "needs a name, a home, an epoch and a known state")
 		return
 	}
-	id := ident.MakeServer(r.p.Service, short)
+	id := ident.ServerID(r.p.Service, short)
 	r.p.Servers[id] = part.Server{
 		ID: id, Home: ident.Daemon(m.Home), Epoch: ident.Epoch(m.Epoch),
 		Standby: ident.Daemon(m.Standby), State: st, Supersede: m.Supersede,
--- a/io/rows/rows_test.go
+++ b/io/rows/rows_test.go
@@ -15,7 +15,7 @@
 )
 
 func doc(rev ident.Rev, l []docs.Change) *docs.Doc {
-	d := docs.New(ident.PartDoc("svc"))
+	d := docs.New(ident.AssignmentsDoc("svc"))
 	d.Rev = rev
 	for _, c := range l {
 		d.Rows[c.Row] = docs.Row{Rev: rev, Body: c.Body}
@@ -35,7 +35,7 @@
 	}
 	var ids []ident.Server
 	for _, n := range names {
-		id := ident.MakeServer("svc", n)
+		id := ident.ServerID("svc", n)
 		ids = append(ids, id)
 		p.Servers[id] = part.Server{
 			ID: id, Home: daemon.Draw(t, "home"), Epoch: ident.Epoch(rapid.Uint64Min(1).Draw(t, "epoch")),
--- a/io/rows/slope_test.go
+++ b/io/rows/slope_test.go
@@ -18,12 +18,12 @@
 func bigDoc(shards, servers int) *docs.Doc {
 	p := part.New("big")
 	for i := range servers {
-		id := ident.MakeServer("big", fmt.Sprintf("server-%05d", i))
+		id := ident.ServerID("big", fmt.Sprintf("server-%05d", i))
 		p.Servers[id] = part.Server{ID: id, Home: "h0001", Epoch: 7, Standby: "h0002"}
 	}
 	p.Witnesses.Current = []ident.Daemon{"h0001", "h0002", "h0003", "h0004", "h0005"}
 	for i := range shards {
-		p.Shards = append(p.Shards, part.Ownership{Server: ident.MakeServer("big", fmt.Sprintf("server-%05d", i%servers)), Epoch: 9})
+		p.Shards = append(p.Shards, part.Ownership{Server: ident.ServerID("big", fmt.Sprintf("server-%05d", i%servers)), Epoch: 9})
 	}
 	d := docs.New("part/big")
 	d.Rev = 1
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -179,11 +179,11 @@
 	now := s.o.Clock.Now()
 	snap := s.o.View.Snapshot()
 	x := snap.Servers[b.server.ID]
-	if !now.Before(r.deadline) || !snap.Takes(b.server) || x == nil {
+	if !now.Before(r.deadline) || !snap.Accepts(b.server) || x == nil {
 		return false
 	}
 	route := snap.Config.Route(r.host, r.path)
-	if route == nil || !route.Sends(r.service.Name) || !r.stillAuthorised(route, snap.Config) {
+	if route == nil || !route.RoutesTo(r.service.Name) || !r.stillAuthorised(route, snap.Config) {
 		return false
 	}
 	if r.crashes = s.crashes(r); r.crashes >= crash.RefusedFrom {
--- a/io/send/back.go
+++ b/io/send/back.go
@@ -103,7 +103,7 @@
 	switch {
 	case now.Before(x.ColdUntil):
 		l := s.o.Cold
-		l.Rate = v.WarmRate
+		l.Rate = v.WarmupRate
 		return &b.cold, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdSpan
 	case now.Before(b.suspect):
 		return &b.again, 1, suspectPace
--- a/io/send/choose.go
+++ b/io/send/choose.go
@@ -34,7 +34,7 @@
 func (s *Sender) near(r *site.Route) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return choice.NearGain(s.sizes[r.Name], r.Target)
+	return choice.NearGain(s.sizes[r.Name], r.TargetLatency)
 }
 
 // observeSize follows the mean size of the requests on a route with their answers, in bytes. Routes of one service may be
@@ -54,15 +54,15 @@
 	if r.service.Keyed {
 		return s.owner(r, snap, now)
 	}
-	if len(r.tried) >= r.route.Attempts {
+	if len(r.tried) >= r.route.MaxAttempts {
 		return nil, reasonAttempts
 	}
 	var l []choice.Candidate
 	var backs []*back
 	usual := s.usual(snap, r.service.Name)
 	why := reasonNoServer
-	for _, x := range snap.Service(r.service.Name) {
-		if !snap.Takes(x) {
+	for _, x := range snap.ServersOf(r.service.Name) {
+		if !snap.Accepts(x) {
 			continue
 		}
 		if slices.Contains(r.tried, x.ID) || slices.Contains(r.failed, x.ID) {
@@ -103,7 +103,7 @@
 	if self := snap.Daemons[s.o.Self]; self == nil {
 		return m // nobody counts on this daemon yet
 	}
-	servers := slices.DeleteFunc(slices.Clone(snap.Service(n)), func(x *site.Server) bool { return !snap.Takes(x) })
+	servers := slices.DeleteFunc(slices.Clone(snap.ServersOf(n)), func(x *site.Server) bool { return !snap.Accepts(x) })
 	daemons := slices.Sorted(maps.Keys(snap.Daemons))
 	s.addSubset(m, servers, daemons)
 	servers = slices.DeleteFunc(servers, func(x *site.Server) bool { return x.Domain != s.o.Domain })
@@ -144,10 +144,10 @@
 	}
 	id := h.Server
 	x := snap.Servers[id]
-	if x == nil || !snap.Takes(x) {
+	if x == nil || !snap.Accepts(x) {
 		return nil, reasonMoving
 	}
-	if !slices.Contains(r.tried, id) && distinct(r.tried) >= r.route.Attempts {
+	if !slices.Contains(r.tried, id) && distinct(r.tried) >= r.route.MaxAttempts {
 		return nil, reasonAttempts
 	}
 	b := s.back(x)
@@ -176,7 +176,7 @@
 		return false
 	}
 	expected := b.load.Expect(now, unit)
-	target := max(r.route.Target, r.route.Timeout/4)
+	target := max(r.route.TargetLatency, r.route.Timeout/4)
 	return now.Add(expected) > min(r.arrived.Add(target), r.deadline)
 }
 
--- a/io/send/guard.go
+++ b/io/send/guard.go
@@ -49,7 +49,7 @@
 		add([]byte(r.organisation.Name))
 	}
 	add(r.req.Header.Method())
-	add([]byte(site.HostName(r.host)))
+	add([]byte(site.NormalizeHost(r.host)))
 	add(r.req.Header.RequestURI())
 	if r.hasKey {
 		add([]byte{byte(r.key >> 8), byte(r.key)})
--- a/io/send/send.go
+++ b/io/send/send.go
@@ -243,7 +243,7 @@
 		return f
 	}
 	n := ident.Service("")
-	if r.service != nil && r.route.Sends(r.service.Name) {
+	if r.service != nil && r.route.RoutesTo(r.service.Name) {
 		n = r.service.Name
 	} else {
 		n = s.part(r, snap)
@@ -280,8 +280,8 @@
 		x := snap.Servers[s.o.View.Holds().Find(v.Name, r.key).Server]
 		return r.hasKey && x != nil && x.Domain == s.o.Domain
 	}
-	return slices.ContainsFunc(snap.Service(v.Name), func(x *site.Server) bool {
-		return x.Domain == s.o.Domain && snap.Takes(x)
+	return slices.ContainsFunc(snap.ServersOf(v.Name), func(x *site.Server) bool {
+		return x.Domain == s.o.Domain && snap.Accepts(x)
 	})
 }
 
--- a/io/setup/keys.go
+++ b/io/setup/keys.go
@@ -19,9 +19,9 @@
 func parseKeys(t *fields.Table, dir string) Keys {
 	k := Keys{
 		CAs:         t.Strings("ca-files"),
-		Certificate: t.Need("certificate-file"),
-		Key:         t.Need("key-file"),
-		OperatorKey: t.Need("operator-key-file"),
+		Certificate: t.RequiredString("certificate-file"),
+		Key:         t.RequiredString("key-file"),
+		OperatorKey: t.RequiredString("operator-key-file"),
 	}
 	if len(k.CAs) == 0 {
 		t.Addf("ca-files", "is missing, must list at least one file")
--- a/io/setup/setup.go
+++ b/io/setup/setup.go
@@ -78,9 +78,9 @@
 		return nil, t.Findings()
 	}
 	s := &Settings{
-		Name:     ident.Daemon(config.NeedName(t, "name")),
-		Domain:   ident.Domain(config.NeedName(t, "domain")),
-		Region:   ident.Region(config.NeedName(t, "region")),
+		Name:     ident.Daemon(config.RequiredName(t, "name")),
+		Domain:   ident.Domain(config.RequiredName(t, "domain")),
+		Region:   ident.Region(config.RequiredName(t, "region")),
 		LogLevel: parseLevel(t, "log-level"),
 	}
 	s.parseAddrs(t)
@@ -107,10 +107,10 @@
 func parseTable(t *fields.Table) Table {
 	return Table{
 		Endpoint:  needURL(t, "endpoint"),
-		Region:    t.Need("region"),
-		Name:      t.Need("name"),
-		AccessKey: t.Need("access-key"),
-		SecretKey: t.Need("secret-key"),
+		Region:    t.RequiredString("region"),
+		Name:      t.RequiredString("name"),
+		AccessKey: t.RequiredString("access-key"),
+		SecretKey: t.RequiredString("secret-key"),
 	}
 }
 
@@ -119,7 +119,7 @@
 	seen := map[ident.Daemon]bool{}
 	for _, x := range t.Tables("peers") {
 		p := Peer{
-			Name: ident.Daemon(config.NeedName(x, "name")),
+			Name: ident.Daemon(config.RequiredName(x, "name")),
 			Addr: config.ParseAddr(x, "address"),
 		}
 		if seen[p.Name] && p.Name != "" {
--- a/io/setup/values.go
+++ b/io/setup/values.go
@@ -12,7 +12,7 @@
 // needURL reads the URL of a part of the platform. Its host must be an IP number: a name would make every
 // call depend on a resolver, whose outage would look like that of the platform.
 func needURL(t *fields.Table, key string) string {
-	s := t.Need(key)
+	s := t.RequiredString(key)
 	if s == "" {
 		return ""
 	}
--- a/io/stand/service.go
+++ b/io/stand/service.go
@@ -124,7 +124,7 @@
 func (s *Stand) AddService(x Service, n int, o server.Options) (Service, error) {
 	for i := range n {
 		y := o
-		y.Name = ident.MakeServer(x.Name, fmt.Sprintf("s%02d", i+1))
+		y.Name = ident.ServerID(x.Name, fmt.Sprintf("s%02d", i+1))
 		y.Seed += uint64(i)
 		y.ChecksGrants = x.Grants
 		v, err := s.AddServer(y)
