--- a/core/site/site.go
+++ b/core/site/site.go
@@ -1,5 +1,5 @@
 // Package site models one deployment as its daemons see it: the routes and services of the configuration in force, the
-// registered backend servers and daemons, and the coordinator.
+// announced backend servers and daemons, and the coordinator.
 package site
 
 import (
@@ -68,7 +68,7 @@
 	Weight  float64
 }
 
-// Server is one incarnation of a backend server, as it registered itself.
+// Server is one incarnation of a backend server, as it announced itself.
 type Server struct {
 	ID        ident.Server
 	Service   ident.Service
@@ -80,7 +80,7 @@
 	ColdUntil mono.Time
 }
 
-// Daemon is one daemon, as it registered itself with its peers.
+// Daemon is one daemon, as it announced itself to its peers.
 type Daemon struct {
 	Name        ident.Daemon
 	Domain      ident.Domain
@@ -132,7 +132,7 @@
 	return s.services[n]
 }
 
-// Accepts reports whether new requests may be sent to the server: this incarnation is still registered, it isn't draining,
+// Accepts reports whether new requests may be sent to the server: this incarnation is still announced, it isn't draining,
 // and its failure domain isn't evacuated.
 func (s *Snapshot) Accepts(x *Server) bool {
 	current := s.Servers[x.ID]
