--- a/io/front/conn.go
+++ b/io/front/conn.go
@@ -57,7 +57,7 @@
 var errCallerLeft = errors.New("caller's connection ended")
 
 func newConn(f *Frontend, n net.Conn) *conn {
-	c := &conn{frontend: f, net: n, br: bufio.NewReaderSize(n, f.o.Limits().HeaderBytes), pipeline: make(chan struct{}, maxPipelined)}
+	c := &conn{frontend: f, net: n, br: bufio.NewReaderSize(n, f.o.Limits().MaxHeaderBytes), pipeline: make(chan struct{}, maxPipelined)}
 	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	return c
 }
@@ -99,7 +99,7 @@
 	c.setIdle(true)
 	defer c.setIdle(false)
 	for {
-		idle := c.frontend.o.Limits().IdleTime
+		idle := c.frontend.o.Limits().IdleTimeout
 		if c.isClosing() {
 			idle = lingerTimeout
 		}
@@ -125,7 +125,7 @@
 // readRequest reads one request. With an error, status is that of the response to send, or 0 for no response.
 func (c *conn) readRequest(req *fasthttp.Request) (status int, err error) {
 	l := c.frontend.o.Limits()
-	if err := c.net.SetReadDeadline(time.Now().Add(l.HeaderTime)); err != nil {
+	if err := c.net.SetReadDeadline(time.Now().Add(l.HeaderTimeout)); err != nil {
 		return 0, err
 	}
 	if err := req.Header.Read(c.br); err != nil {
@@ -139,7 +139,7 @@
 			return 0, err
 		}
 	}
-	if err := req.ContinueReadBody(c.br, l.BodyBytes, false); err != nil {
+	if err := req.ContinueReadBody(c.br, l.MaxBodyBytes, false); err != nil {
 		return bodyErrorStatus(err), err
 	}
 	return 0, nil
--- a/io/grant/service.go
+++ b/io/grant/service.go
@@ -139,7 +139,7 @@
 func (g *Granter) mustMove(s *site.Snapshot, x *service) bool {
 	for _, p := range x.table.Assignments() {
 		o := s.Servers[p.Owner.Server]
-		if (o == nil || !s.Takes(o) || x.table.HasEnded(p.Owner)) && p.Previous == (hold.Incarnation{}) {
+		if (o == nil || !s.Accepts(o) || x.table.HasEnded(p.Owner)) && p.Previous == (hold.Incarnation{}) {
 			return true
 		}
 	}
@@ -149,9 +149,9 @@
 // targets returns the servers that may hold keys. It leaves out those known to have ended, which stay announced for seconds.
 func (g *Granter) targets(s *site.Snapshot, v *service, now mono.Time) []hold.Target {
 	var l []hold.Target
-	for _, x := range s.Service(v.name) {
+	for _, x := range s.ServersOf(v.name) {
 		inc := hold.Incarnation{Server: x.ID, Born: x.Born}
-		if s.Takes(x) && !v.table.HasEnded(inc) {
+		if s.Accepts(x) && !v.table.HasEnded(inc) {
 			l = append(l, hold.Target{
 				Incarnation: inc, Cold: now.Before(x.ColdUntil), Slots: x.Slots, ServiceTime: g.measurements.serviceTime(now, v.name, x.ID),
 			})
--- a/io/send/back.go
+++ b/io/send/back.go
@@ -103,7 +103,7 @@
 	switch {
 	case now.Before(x.ColdUntil):
 		l := s.o.ColdLimit
-		l.Rate = v.WarmRate
+		l.Rate = v.WarmupRate
 		return &b.coldWindow, pace.ColdShare(x.ID, s.o.Self, names, l), pace.ColdWindow
 	case now.Before(b.restartSuspectedUntil):
 		return &b.restartWindow, 1, restartProbeInterval
--- a/io/send/choose.go
+++ b/io/send/choose.go
@@ -34,7 +34,7 @@
 func (s *Sender) localityBonus(r *site.Route) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return choice.LocalityBonus(s.meanSizes[r.Name], r.Target)
+	return choice.LocalityBonus(s.meanSizes[r.Name], r.TargetLatency)
 }
 
 // observeSize updates the moving average of the size of requests plus responses on a route, in bytes. It is kept by route, as
@@ -54,15 +54,15 @@
 	if r.service.Keyed {
 		return s.owner(r, snap, now)
 	}
-	if len(r.sentTo) >= r.route.Attempts {
+	if len(r.sentTo) >= r.route.MaxAttempts {
 		return nil, reasonAttempts
 	}
 	var l []choice.Candidate
 	var backends []*backend
 	subset := s.subset(snap, r.service.Name)
 	why := reasonNoServer
-	for _, x := range snap.Service(r.service.Name) {
-		if !snap.Takes(x) {
+	for _, x := range snap.ServersOf(r.service.Name) {
+		if !snap.Accepts(x) {
 			continue
 		}
 		if slices.Contains(r.sentTo, x.ID) || slices.Contains(r.unreachable, x.ID) {
@@ -103,7 +103,7 @@
 	if self := snap.Daemons[s.o.Self]; self == nil {
 		return m // other daemons don't count this one yet
 	}
-	servers := slices.DeleteFunc(slices.Clone(snap.Service(n)), func(x *site.Server) bool { return !snap.Takes(x) })
+	servers := slices.DeleteFunc(slices.Clone(snap.ServersOf(n)), func(x *site.Server) bool { return !snap.Accepts(x) })
 	daemons := slices.Sorted(maps.Keys(snap.Daemons))
 	s.addSubset(m, servers, daemons)
 	servers = slices.DeleteFunc(servers, func(x *site.Server) bool { return x.Domain != s.o.Domain })
@@ -144,10 +144,10 @@
 	}
 	id := h.Server
 	x := snap.Servers[id]
-	if x == nil || !snap.Takes(x) {
+	if x == nil || !snap.Accepts(x) {
 		return nil, reasonMoving
 	}
-	if !slices.Contains(r.sentTo, id) && distinct(r.sentTo) >= r.route.Attempts {
+	if !slices.Contains(r.sentTo, id) && distinct(r.sentTo) >= r.route.MaxAttempts {
 		return nil, reasonAttempts
 	}
 	b := s.backend(x)
@@ -176,7 +176,7 @@
 		return false
 	}
 	expected := b.load.ExpectedLatency(now, serviceTime)
-	target := max(r.route.Target, r.route.Timeout/4)
+	target := max(r.route.TargetLatency, r.route.Timeout/4)
 	return now.Add(expected) > min(r.arrived.Add(target), r.deadline)
 }
 
