--- a/io/lines/lines.go
+++ b/io/lines/lines.go
@@ -1,8 +1,7 @@
-// Package lines writes log lines without ever blocking the one who logs.
+// Package lines writes log lines without blocking the code that logs them.
 //
-// A reader of standard output that falls behind would else hold up requests, and a flood of refusals would fill it. Lines
-// wait in a bounded ring; what finds no room there, or is over the rate of a second, is left out and counted, and the
-// count is written in its place.
+// Otherwise a slow reader of standard output would block requests, and a burst of refused requests would flood the output.
+// Lines are queued in a bounded ring. Lines that exceed its capacity or the rate limit are dropped, and their number is logged.
 package lines
 
 import (
@@ -17,30 +16,31 @@
 )
 
 const (
-	// ringSize is how many lines may wait: what a daemon logs in about two seconds of a flood.
+	// ringSize is the maximum number of queued lines, which is about two seconds of logging at maxRate.
 	ringSize = 1024
 
-	// maxRate is the most lines written in a second: a flood of refusals must not take the processor from requests.
+	// maxRate is the maximum number of lines per second, so that logging a burst of refusals doesn't use the CPU time that
+	// requests need.
 	maxRate = 500
 
-	flushEvery = time.Second // for the count of what was left out
+	reportInterval = time.Second // between two log lines that report dropped lines
 )
 
-// Writer is the writer of one process's log.
+// Writer writes the log of a process. It is safe for concurrent use until Close is called.
 type Writer struct {
 	out     io.Writer
 	ring    *ring.Ring[[]byte]
 	dropped atomic.Int64
 
-	mu     sync.Mutex
-	second time.Time
-	count  int
+	mu          sync.Mutex
+	windowStart time.Time
+	windowCount int
 
 	stop chan struct{}
 	done chan struct{}
 }
 
-// New starts a writer; Close ends it.
+// New starts a Writer on out. The caller must call Close to write the remaining lines.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, ring: ring.New[[]byte](ringSize), stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
@@ -50,7 +50,7 @@
 	return w
 }
 
-// Write takes a line, or counts it as left out. It never fails and never waits.
+// Write queues a line, or drops and counts it. It never fails and never blocks on the output.
 func (w *Writer) Write(b []byte) (int, error) {
 	if !w.allow(time.Now()) || !w.ring.TryPut(bytes.Clone(b)) {
 		w.dropped.Add(1)
@@ -58,18 +58,18 @@
 	return len(b), nil
 }
 
-// allow counts a line against the rate.
+// allow counts a line and reports whether it is within the rate limit.
 func (w *Writer) allow(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now.Sub(w.second) >= time.Second {
-		w.second, w.count = now, 0
+	if now.Sub(w.windowStart) >= time.Second {
+		w.windowStart, w.windowCount = now, 0
 	}
-	w.count++
-	return w.count <= maxRate
+	w.windowCount++
+	return w.windowCount <= maxRate
 }
 
-// Close writes what waits.
+// Close writes the queued lines and stops the writer.
 func (w *Writer) Close() error {
 	close(w.stop)
 	<-w.done
@@ -77,17 +77,17 @@
 }
 
 func (w *Writer) run() {
-	t := time.NewTicker(flushEvery)
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	for {
 		select {
 		case b := <-w.ring.Chan():
 			w.write(b)
 		case <-t.C:
-			w.tell()
+			w.reportDropped()
 		case <-w.stop:
 			w.drain()
-			w.tell()
+			w.reportDropped()
 			return
 		}
 	}
@@ -103,15 +103,15 @@
 	}
 }
 
-// write writes a line. Where the log goes nobody could be told of an error; the line counts as left out.
+// write writes a line. An error is not returned because it could not be logged either; the line counts as dropped.
 func (w *Writer) write(b []byte) {
 	if _, err := w.out.Write(b); err != nil {
 		w.dropped.Add(1)
 	}
 }
 
-// tell writes how many lines were left out since it last did.
-func (w *Writer) tell() {
+// reportDropped logs how many lines were dropped since its last call.
+func (w *Writer) reportDropped() {
 	if n := w.dropped.Swap(0); n > 0 {
 		w.write([]byte(fmt.Sprintf(`{"time":%q,"level":"warn","lines":%d,"message":"log lines left out"}`+"\n",
 			time.Now().UTC().Format("2006-01-02T15:04:05.000Z"), n)))
--- a/io/lines/lines_test.go
+++ b/io/lines/lines_test.go
@@ -11,22 +11,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is an output whose reader has stopped until it is let go.
-type stuck struct {
+// blockedOutput is an output that blocks writes while mu is locked.
+type blockedOutput struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedOutput) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(b)
 }
 
-// Requests stand still because nobody reads the log. The reader stops; a flood of lines is logged; every line must be
-// taken or left out at once, and the count of those left out stands in the log once the reader goes on.
-func TestStuckReader(t *testing.T) {
-	out := &stuck{}
+// Guards against requests that block because the log isn't read. While the output is blocked, each line must be queued or
+// dropped without delay. The number of dropped lines must be logged once the output is read again.
+func TestBlockedOutputDoesNotBlockWrites(t *testing.T) {
+	out := &blockedOutput{}
 	out.mu.Lock()
 	w := New(out)
 	start := time.Now()
