--- a/cmd/heatherbench/control/control.go
+++ b/cmd/heatherbench/control/control.go
@@ -129,7 +129,7 @@
 func read(s *stand.Stand) (reading, error) {
 	r := reading{at: time.Now()}
 	for _, d := range s.Daemons {
-		u, err := load.UsageOf(d.PID())
+		u, err := load.ReadUsage(d.PID())
 		if err != nil {
 			return r, err
 		}
@@ -171,11 +171,11 @@
 	n := float64(len(b.daemons))
 	var cpu, maxCPU, sent, maxSent, conns, resident float64
 	for i := range b.daemons {
-		c := (b.daemons[i].usage.Processor - a.daemons[i].usage.Processor).Seconds() / t * 100
+		c := (b.daemons[i].usage.CPUTime - a.daemons[i].usage.CPUTime).Seconds() / t * 100
 		s := (b.daemons[i].sent - a.daemons[i].sent) / t
 		cpu, sent, conns = cpu+c/n, sent+s/n, conns+b.daemons[i].conns/n
 		maxCPU, maxSent = max(maxCPU, c), max(maxSent, s)
-		resident += float64(b.daemons[i].usage.Resident>>20) / n
+		resident += float64(b.daemons[i].usage.ResidentBytes>>20) / n
 	}
 	fmt.Fprintf(w, "%d\t%d\t%.2f\t%.2f\t%.0f\t%.0f\t%.1f\t%.0f\t%.1f\t%.1f\t\n", len(b.daemons), o.Servers, cpu, maxCPU, sent, maxSent,
 		conns, resident, (b.reads-a.reads)/t, (b.writes-a.writes)/t)
--- a/cmd/heatherbench/path/path.go
+++ b/cmd/heatherbench/path/path.go
@@ -81,7 +81,7 @@
 	}
 	return stand.Eventually(publishLimit, func() error {
 		r := load.Run(load.Plan{
-			Addrs: []string{b.stand.Daemons[0].Entry.String()}, Callers: 8, Length: warmLength, Request: request(nil),
+			Addrs: []string{b.stand.Daemons[0].Entry.String()}, Callers: 8, Duration: warmLength, Request: request(nil),
 		})
 		return r.OK()
 	})
@@ -172,7 +172,7 @@
 	if err != nil {
 		return load.Result{}, err
 	}
-	r := load.Run(load.Plan{Addrs: l.addrs, Callers: l.callers, Rate: l.rate, Length: b.Length, Request: request(l.keys)})
+	r := load.Run(load.Plan{Addrs: l.addrs, Callers: l.callers, Rate: l.rate, Duration: b.Length, Request: request(l.keys)})
 	after, err := b.usage()
 	if err != nil {
 		return load.Result{}, err
@@ -180,9 +180,9 @@
 	if err := r.OK(); err != nil {
 		return r, trace.Wrap(err, "%s with %d callers", l.name, l.callers)
 	}
-	per := float64((after.Processor - before.Processor).Microseconds()) / float64(r.Sent)
+	per := float64((after.CPUTime - before.CPUTime).Microseconds()) / float64(r.Sent)
 	fmt.Fprintf(b.out, "%s\t%d\t%d\t%.0f\t%v\t%v\t%.1f\t%d\t\n", l.name, l.callers, l.rate, r.PerSecond(),
-		r.Quantile(50), r.Quantile(99), per, after.Resident>>20)
+		r.Quantile(50), r.Quantile(99), per, after.ResidentBytes>>20)
 	return r, b.out.Flush()
 }
 
@@ -190,12 +190,12 @@
 func (b *bench) usage() (load.Usage, error) {
 	var sum load.Usage
 	for _, d := range b.stand.Daemons {
-		u, err := load.UsageOf(d.PID())
+		u, err := load.ReadUsage(d.PID())
 		if err != nil {
 			return sum, err
 		}
-		sum.Processor += u.Processor
-		sum.Resident += u.Resident
+		sum.CPUTime += u.CPUTime
+		sum.ResidentBytes += u.ResidentBytes
 	}
 	return sum, nil
 }
--- a/cmd/heatherbench/policy/load.go
+++ b/cmd/heatherbench/policy/load.go
@@ -39,7 +39,7 @@
 // reads is the usual load of an unkeyed service.
 func (b *bench) reads(s stand.Service, length time.Duration) load.Plan {
 	p := load.Plan{
-		Addrs: b.addrs(s, nil), Callers: callers, Rate: perServer * len(s.Servers), Length: length,
+		Addrs: b.addrs(s, nil), Callers: callers, Rate: perServer * len(s.Servers), Duration: length,
 		Request: func(_ uint64, r *fasthttp.Request) { b.fill(r, s, "/read/x", "", unkeyedTimeout) },
 	}
 	p.Pick = balancer(callers, len(p.Addrs))
@@ -67,7 +67,7 @@
 func (b *bench) keyedLoad(without map[*stand.Daemon]bool, length time.Duration, callers int, key func(uint64) string) load.Plan {
 	s := b.keyed
 	p := load.Plan{
-		Addrs: b.addrs(s, without), Callers: callers, Rate: probeKeys * probeRate, Length: length,
+		Addrs: b.addrs(s, without), Callers: callers, Rate: probeKeys * probeRate, Duration: length,
 		Request: func(n uint64, r *fasthttp.Request) {
 			k := key(n)
 			// By the round, not the number: each caller has its own key and would else always read or always write.
--- a/cmd/heatherbench/policy/site.go
+++ b/cmd/heatherbench/policy/site.go
@@ -124,7 +124,7 @@
 	for _, s := range b.services() {
 		for _, v := range s.Servers {
 			l = append(l, load.Plan{
-				Addrs: []string{v.Addr()}, Callers: 1, Length: 3 * warmLength,
+				Addrs: []string{v.Addr()}, Callers: 1, Duration: 3 * warmLength,
 				Request: func(_ uint64, r *fasthttp.Request) { b.fill(r, s, "/read/x", "", unkeyedTimeout) },
 			})
 		}
--- a/cmd/heatherbench/policy/steady.go
+++ b/cmd/heatherbench/policy/steady.go
@@ -100,11 +100,11 @@
 		b.put(name, "p99 without, onset, with", "", fmt.Sprintf("%v, %v, %v",
 			ms(p), ms(first[i].Quantile(99)), ms(q)))
 		f, n := failed(with[i])
-		b.put(name, "goodput/s", "", fmt.Sprintf("%.0f of %.0f", float64(n-f)/with[i].Took.Seconds(), float64(perServer*len(s.Servers))))
+		b.put(name, "goodput/s", "", fmt.Sprintf("%.0f of %.0f", float64(n-f)/with[i].Elapsed.Seconds(), float64(perServer*len(s.Servers))))
 		b.put(name, "not answered", "", percent(f, n))
 		sends := 0
 		for _, w := range worked(s, at) {
-			if w.Start < at.Add(with[i].Took).UnixNano() {
+			if w.Start < at.Add(with[i].Elapsed).UnixNano() {
 				sends++
 			}
 		}
--- a/cmd/heatherdemo/demo/requests.go
+++ b/cmd/heatherdemo/demo/requests.go
@@ -86,7 +86,7 @@
 
 // plan is a mixed load of the first kind of each service on the entries of some daemons.
 func (d *demo) plan(daemons ...int) load.Plan {
-	p := load.Plan{Callers: callers, Length: d.Length, Rate: loadRate, Request: func(n uint64, r *fasthttp.Request) {
+	p := load.Plan{Callers: callers, Duration: d.Length, Rate: loadRate, Request: func(n uint64, r *fasthttp.Request) {
 		s := d.services[n%uint64(len(d.services))]
 		k := &s.Kinds[0]
 		r.Header.SetMethod(k.Methods[0])
@@ -118,12 +118,12 @@
 		x.Signal(syscall.SIGKILL)
 	}()
 	p := d.plan(0, 1)
-	p.Length += moveLimit
+	p.Duration += moveLimit
 	r := load.Run(p)
 	d.print(r)
 	err := stand.Eventually(moveLimit, func() error {
 		probe := d.plan(0, 1)
-		probe.Length = 300 * time.Millisecond
+		probe.Duration = 300 * time.Millisecond
 		return load.Run(probe).OK()
 	})
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 	done := make(chan load.Result)
 	p := d.plan(0, 2)
-	p.Length *= 2
+	p.Duration *= 2
 	go func() { done <- load.Run(p) }()
 	if err := d.client("domain", "drain", string(x)); err != nil {
 		return err
--- a/io/load/load.go
+++ b/io/load/load.go
@@ -1,4 +1,4 @@
-// Package load sends requests to one address and measures their answers, for the bench and the demo.
+// Package load sends requests to a set of addresses and measures the responses, for the benchmarks and the demo.
 package load
 
 import (
@@ -11,51 +11,51 @@
 )
 
 const (
-	maxLatency = int64(30 * time.Second / time.Microsecond)
-	digits     = 3
-	timeout    = 30 * time.Second
+	maxLatency        = int64(30 * time.Second / time.Microsecond) // in microseconds
+	significantDigits = 3
+	requestTimeout    = 30 * time.Second
 )
 
-// Plan is one load.
+// Plan describes a load to run.
 type Plan struct {
-	Addrs   []string // HOST:PORT, taken in turn
-	Callers int      // each sends its next request when the last is answered
-	Length  time.Duration
-	Rate    int                                 // requests a second over all callers; 0 for as many as go
-	Request func(n uint64, r *fasthttp.Request) // fills request n; the host is set
-	Pick    func(n uint64) int                  // address of request n; nil for each caller to keep to one
+	Addrs    []string                            // HOST:PORT; assigned to the callers in turn
+	Callers  int                                 // concurrent callers; each waits for a response before its next request
+	Duration time.Duration                       // after which no further request is sent
+	Rate     int                                 // requests per second of all callers; 0 for no limit
+	Request  func(n uint64, r *fasthttp.Request) // fills in request n, except for its host, which Run sets
+	Pick     func(n uint64) int                  // returns the index of the address for request n; nil for a fixed address per caller
 }
 
-// Result is what came back.
+// Result is the outcome of a load.
 type Result struct {
-	Sent      uint64
-	Statuses  map[int]uint64
-	Errors    uint64
+	Sent      uint64         // requests sent, including those that failed
+	Statuses  map[int]uint64 // responses by status code
+	Errors    uint64         // requests without a response
 	LastError error
-	Took      time.Duration
+	Elapsed   time.Duration
 	Latencies *hdrhistogram.Histogram // in microseconds
 }
 
-// PerSecond returns the requests answered in a second.
+// PerSecond returns the requests sent per second, including those that failed.
 func (r Result) PerSecond() float64 {
-	return float64(r.Sent) / r.Took.Seconds()
+	return float64(r.Sent) / r.Elapsed.Seconds()
 }
 
-// Quantile returns a latency.
+// Quantile returns the latency at the percentile q, from 0 to 100.
 func (r Result) Quantile(q float64) time.Duration {
 	return time.Duration(r.Latencies.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// OK reports whether every request was answered with status 200.
+// OK returns an error unless every request was answered with status 200.
 func (r Result) OK() error {
 	if r.Errors > 0 || r.Statuses[fasthttp.StatusOK] != r.Sent {
-		return fmt.Errorf("%d errors, statuses %v of %d requests, last error %w", r.Errors, r.Statuses, r.Sent, r.LastError)
+		return fmt.Errorf("load failed: %d errors, statuses %v of %d requests, last error: %w", r.Errors, r.Statuses, r.Sent, r.LastError)
 	}
 	return nil
 }
 
 func newResult() Result {
-	return Result{Statuses: map[int]uint64{}, Latencies: hdrhistogram.New(1, maxLatency, digits)}
+	return Result{Statuses: map[int]uint64{}, Latencies: hdrhistogram.New(1, maxLatency, significantDigits)}
 }
 
 func (r *Result) add(o Result) {
@@ -70,13 +70,13 @@
 	r.Latencies.Merge(o.Latencies)
 }
 
-// Run sends the load and returns when it is over. With a rate, a request's latency counts from when it was due, so
-// that a stall is not hidden by the requests that it kept from being sent.
+// Run sends the load and returns its result at the end. With a rate, latency is measured from the time at which a request was
+// due. Otherwise a stall would be hidden, because it also delays the following requests.
 func Run(p Plan) Result {
 	clients := make([]*fasthttp.HostClient, len(p.Addrs))
 	for i, a := range p.Addrs {
 		clients[i] = &fasthttp.HostClient{
-			Addr: a, MaxConns: p.Callers * 2, MaxIdemponentCallAttempts: 1, ReadTimeout: timeout, WriteTimeout: timeout,
+			Addr: a, MaxConns: p.Callers * 2, MaxIdemponentCallAttempts: 1, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
 		}
 		defer clients[i].CloseIdleConnections()
 	}
@@ -84,25 +84,25 @@
 	start := time.Now()
 	var w sync.WaitGroup
 	for i := range parts {
-		w.Go(func() { parts[i] = p.caller(clients, uint64(i), start) })
+		w.Go(func() { parts[i] = p.runCaller(clients, uint64(i), start) })
 	}
 	w.Wait()
 	out := newResult()
 	for _, x := range parts {
 		out.add(x)
 	}
-	out.Took = time.Since(start)
+	out.Elapsed = time.Since(start)
 	return out
 }
 
-// caller sends every Callers-th request.
-func (p Plan) caller(l []*fasthttp.HostClient, first uint64, start time.Time) Result {
+// runCaller sends every Callers-th request, starting with the given one.
+func (p Plan) runCaller(l []*fasthttp.HostClient, first uint64, start time.Time) Result {
 	out := newResult()
 	c := l[first%uint64(len(l))]
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	for n := first; time.Since(start) < p.Length; n += uint64(p.Callers) {
+	for n := first; time.Since(start) < p.Duration; n += uint64(p.Callers) {
 		due := time.Now()
 		if p.Rate > 0 {
 			due = start.Add(time.Duration(float64(n) / float64(p.Rate) * float64(time.Second)))
@@ -122,7 +122,7 @@
 			continue
 		}
 		out.Statuses[resp.StatusCode()]++
-		_ = out.Latencies.RecordValue(max(1, time.Since(due).Microseconds())) // beyond the range is the range's end
+		_ = out.Latencies.RecordValue(max(1, time.Since(due).Microseconds())) // a latency beyond the range is not recorded
 	}
 	return out
 }
--- a/io/load/usage.go
+++ b/io/load/usage.go
@@ -10,26 +10,26 @@
 	"github.com/gravitational/trace"
 )
 
-// clockTick is the unit of processor times in the proc file system; 100 a second on every Linux of today.
+// clockTick is the unit of CPU times in /proc. All current Linux systems use 100 ticks per second.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used so far.
+// Usage is the resource usage of a process.
 type Usage struct {
-	Processor time.Duration
-	Resident  int64 // bytes
+	CPUTime       time.Duration // user and system time since the process started
+	ResidentBytes int64
 }
 
-// UsageOf reads the usage of a process.
-func UsageOf(pid int) (Usage, error) {
+// ReadUsage returns the current usage of the process with the given ID.
+func ReadUsage(pid int) (Usage, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, trace.ConvertSystemError(err)
 	}
-	// The second field is the program's name in brackets and may hold blanks.
+	// The second field is the program's name in parentheses, which may contain spaces.
 	f := bytes.Fields(b[bytes.LastIndexByte(b, ')')+1:])
 	const user, system, resident = 11, 12, 21
 	if len(f) <= resident {
-		return Usage{}, trace.BadParameter("process statistics are too short")
+		return Usage{}, trace.BadParameter("parse /proc stat file: too few fields")
 	}
 	var n [3]int64
 	for i, k := range []int{user, system, resident} {
@@ -37,5 +37,5 @@
 			return Usage{}, trace.Wrap(err)
 		}
 	}
-	return Usage{Processor: time.Duration(n[0]+n[1]) * clockTick, Resident: n[2] * int64(os.Getpagesize())}, nil
+	return Usage{CPUTime: time.Duration(n[0]+n[1]) * clockTick, ResidentBytes: n[2] * int64(os.Getpagesize())}, nil
 }
