--- a/io/keys/keys.go
+++ b/io/keys/keys.go
@@ -1,4 +1,4 @@
-// Package keys holds a daemon's certificate and the authorities that it trusts, read again when their files change.
+// Package keys loads a daemon's certificate and trusted authorities, and reloads them when their files change.
 package keys
 
 import (
@@ -16,66 +16,66 @@
 )
 
 const (
-	protocol   = "heatherrouter/1" // ALPN name of the protocol between daemons
-	reloadTime = time.Second       // between two looks at the files
+	protocol       = "heatherrouter/1" // ALPN ID of the protocol between daemons
+	reloadInterval = time.Second       // between two checks for changed files
 )
 
-// Files names the PEM files; several authorities are trusted at once, so that keys can be rotated.
+// Files holds the paths of the PEM files. It may list several authorities, which are all trusted, so that keys can be rotated.
 type Files struct {
 	Authorities []string
 	Certificate string
 	Key         string
 }
 
-// Store gives the TLS configurations of a daemon.
+// Store provides the TLS configurations of a daemon. They always use the credentials loaded last. It is safe for concurrent use.
 type Store struct {
-	files Files
-	log   *log.Logger
-	now   atomic.Pointer[loaded]
+	files   Files
+	log     *log.Logger
+	current atomic.Pointer[credentials]
 }
 
-type loaded struct {
+type credentials struct {
 	roots *x509.CertPool
 	cert  tls.Certificate
 }
 
-// New reads the files.
+// New returns a Store with the credentials loaded from the files.
 func New(f Files, l *log.Logger) (*Store, error) {
 	s := &Store{files: f, log: l}
 	x, err := load(f)
 	if err != nil {
 		return nil, err
 	}
-	s.now.Store(x)
+	s.current.Store(x)
 	return s, nil
 }
 
-func load(f Files) (*loaded, error) {
-	x := &loaded{roots: x509.NewCertPool()}
+func load(f Files) (*credentials, error) {
+	x := &credentials{roots: x509.NewCertPool()}
 	for _, a := range f.Authorities {
 		b, err := os.ReadFile(a)
 		if err != nil {
 			return nil, trace.ConvertSystemError(err)
 		}
 		if !x.roots.AppendCertsFromPEM(b) {
-			return nil, trace.BadParameter("%s: no certificate in PEM form", a)
+			return nil, trace.BadParameter("load authority %s: no certificate in PEM format", a)
 		}
 	}
 	cert, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		return nil, trace.Wrap(err, "certificate %s with key %s", f.Certificate, f.Key)
+		return nil, trace.Wrap(err, "load certificate %s and key %s", f.Certificate, f.Key)
 	}
 	x.cert = cert
 	return x, nil
 }
 
-// Watch reads the files again when one has changed, until the context ends.
+// Watch reloads the files when one of them has changed, until the context is done.
 //
-// Files that can't be read leave the old keys in use: a half-written pair during a rotation must not cut a
-// running daemon off from its peers.
+// If loading fails, the current credentials stay in use. Otherwise a partly written key pair during a rotation would disconnect
+// a running daemon from its peers.
 func (s *Store) Watch(c context.Context) error {
-	seen := s.stamp()
-	t := time.NewTicker(reloadTime)
+	seen := s.lastModified()
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -83,7 +83,7 @@
 			return nil
 		case <-t.C:
 		}
-		m := s.stamp()
+		m := s.lastModified()
 		if m.Equal(seen) {
 			continue
 		}
@@ -93,13 +93,13 @@
 			continue
 		}
 		seen = m
-		s.now.Store(x)
+		s.current.Store(x)
 		s.log.Info().Time("expires", x.cert.Leaf.NotAfter).Msg("keys read again")
 	}
 }
 
-// stamp returns when the newest of the files was written.
-func (s *Store) stamp() time.Time {
+// lastModified returns the latest modification time of the files. Files that can't be examined are ignored.
+func (s *Store) lastModified() time.Time {
 	var newest time.Time
 	for _, f := range append([]string{s.files.Certificate, s.files.Key}, s.files.Authorities...) {
 		if i, err := os.Stat(f); err == nil && i.ModTime().After(newest) {
@@ -109,59 +109,59 @@
 	return newest
 }
 
-// Expires returns when the daemon's certificate ends.
+// Expires returns when the daemon's certificate expires.
 func (s *Store) Expires() time.Time {
-	return s.now.Load().cert.Leaf.NotAfter
+	return s.current.Load().cert.Leaf.NotAfter
 }
 
-// Server returns the configuration for accepting peers.
+// Server returns the TLS configuration for connections from peers.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocol},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &s.now.Load().cert, nil
+			return &s.current.Load().cert, nil
 		},
-		ClientAuth: tls.RequireAnyClientCert, // verified below, where a refusal can be logged
+		ClientAuth: tls.RequireAnyClientCert, // VerifyConnection verifies it and can log a refusal
 		VerifyConnection: func(x tls.ConnectionState) error {
 			return s.verify(x, "", x509.ExtKeyUsageClientAuth)
 		},
 	}
 }
 
-// Client returns the configuration for calling the peer.
+// Client returns the TLS configuration for connections to the peer.
 func (s *Store) Client(to ident.Daemon) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocol},
 		ServerName: string(to),
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &s.now.Load().cert, nil
+			return &s.current.Load().cert, nil
 		},
-		InsecureSkipVerify: true, // verified below against the authorities in force now
+		InsecureSkipVerify: true, // VerifyConnection uses the authorities loaded last
 		VerifyConnection: func(x tls.ConnectionState) error {
 			return s.verify(x, string(to), x509.ExtKeyUsageServerAuth)
 		},
 	}
 }
 
-// verify checks the peer's certificate against the authorities, and its name when one is expected.
-func (s *Store) verify(x tls.ConnectionState, name string, use x509.ExtKeyUsage) error {
+// verify verifies the peer's certificate for the given usage, and its name unless the expected name is empty.
+func (s *Store) verify(x tls.ConnectionState, name string, usage x509.ExtKeyUsage) error {
 	if len(x.PeerCertificates) == 0 {
-		return trace.AccessDenied("peer shows no certificate")
+		return trace.AccessDenied("peer presented no certificate")
 	}
 	leaf := x.PeerCertificates[0]
-	more := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range x.PeerCertificates[1:] {
-		more.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := leaf.Verify(x509.VerifyOptions{
-		Roots: s.now.Load().roots, Intermediates: more, DNSName: name, KeyUsages: []x509.ExtKeyUsage{use},
+		Roots: s.current.Load().roots, Intermediates: intermediates, DNSName: name, KeyUsages: []x509.ExtKeyUsage{usage},
 	})
 	if err != nil {
 		s.log.Warn().Err(err).Strs("names", leaf.DNSNames).Str("issuer", leaf.Issuer.CommonName).
 			Str("expected", name).Msg("peer refused: its certificate is not trusted here")
-		return trace.AccessDenied("certificate not trusted: %v", err)
+		return trace.AccessDenied("verify peer certificate: %v", err)
 	}
 	return nil
 }
--- a/io/keys/keytest/keytest.go
+++ b/io/keys/keytest/keytest.go
@@ -1,4 +1,4 @@
-// Package keytest makes certificates for tests and the demo.
+// Package keytest creates certificates for tests and the demo.
 package keytest
 
 import (
@@ -19,9 +19,9 @@
 	"heatherrouter/io/keys"
 )
 
-const lifetime = 24 * time.Hour
+const validity = 24 * time.Hour
 
-// Authority signs the certificates of daemons.
+// Authority is a certificate authority that signs the certificates of daemons.
 type Authority struct {
 	File string // PEM file of the authority's own certificate
 	cert *x509.Certificate
@@ -29,7 +29,7 @@
 	dir  string
 }
 
-// New makes an authority whose files stand in dir.
+// New creates an authority that stores its certificate, and those that it issues, in dir.
 func New(dir, name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -57,12 +57,12 @@
 		SerialNumber: n,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    time.Now().Add(-time.Minute),
-		NotAfter:     time.Now().Add(lifetime),
+		NotAfter:     time.Now().Add(validity),
 	}
 }
 
-// Daemon writes a certificate and key for the daemon.
-func (a *Authority) Daemon(d ident.Daemon) (keys.Files, error) {
+// IssueCertificate writes a certificate and a key for the daemon, and returns the paths of the files.
+func (a *Authority) IssueCertificate(d ident.Daemon) (keys.Files, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return keys.Files{}, trace.Wrap(err)
--- a/io/keys/secret.go
+++ b/io/keys/secret.go
@@ -11,14 +11,14 @@
 	"github.com/phuslu/log"
 )
 
-// Secret is a key in a file of its own, read again when the file changes.
+// Secret is a secret key that is stored in a file and reread periodically. It is safe for concurrent use.
 type Secret struct {
-	file string
-	log  *log.Logger
-	now  atomic.Pointer[string]
+	file    string
+	log     *log.Logger
+	current atomic.Pointer[string]
 }
 
-// NewSecret reads the file.
+// NewSecret returns the secret read from the file.
 func NewSecret(file string, l *log.Logger) (*Secret, error) {
 	s := &Secret{file: file, log: l}
 	return s, s.read()
@@ -30,18 +30,18 @@
 		return trace.ConvertSystemError(err)
 	}
 	x := strings.TrimSpace(string(b))
-	s.now.Store(&x)
+	s.current.Store(&x)
 	return nil
 }
 
-// Get returns the secret as last read.
+// Get returns the secret last read.
 func (s *Secret) Get() string {
-	return *s.now.Load()
+	return *s.current.Load()
 }
 
-// Watch reads the file again until the context ends; a file that can't be read leaves the old secret in use.
+// Watch rereads the file periodically until the context is done. If reading fails, the current secret stays in use.
 func (s *Secret) Watch(c context.Context) error {
-	t := time.NewTicker(reloadTime)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -49,7 +49,7 @@
 			return nil
 		case <-t.C:
 			if err := s.read(); err != nil {
-				s.log.Warn().Err(err).Msg("operator key not read again")
+				s.log.Warn().Err(err).Msg("failed to reload operator key")
 			}
 		}
 	}
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -69,7 +69,7 @@
 }
 
 func newTransport(t testing.TB, a *keytest.Authority, b *book, d ident.Daemon, w io.Writer) *peer.Transport {
-	f, err := a.Daemon(d)
+	f, err := a.IssueCertificate(d)
 	require.NoError(t, err)
 	l := &log.Logger{Writer: &log.IOWriter{Writer: w}}
 	k, err := keys.New(f, l)
--- a/io/stand/stand.go
+++ b/io/stand/stand.go
@@ -116,7 +116,7 @@
 		}
 		*a = x
 	}
-	f, err := s.authority.Daemon(d.Name)
+	f, err := s.authority.IssueCertificate(d.Name)
 	if err != nil {
 		return err
 	}
