--- a/io/entry/answer.go
+++ b/io/entry/answer.go
@@ -58,7 +58,7 @@
 		// A service that was published a moment ago may not have reached this daemon.
 		x.Response.Header.Set(fasthttp.HeaderRetryAfter, "5")
 	}
-	e.o.Counter.Answered("", "", "not-run", r.Reason(), 0)
+	e.o.Counter.RecordAnswer("", "", "not-run", r.Reason(), 0)
 	writeProblem(x, status, problem{Outcome: "not-run", Reason: r.Reason(), Message: err.Error()})
 }
 
@@ -74,7 +74,7 @@
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		reason = "body-cut"
 	}
-	e.o.Counter.Answered("", "", "not-run", reason, 0)
+	e.o.Counter.RecordAnswer("", "", "not-run", reason, 0)
 	x.SetConnectionClose()
 	writeProblem(x, status, problem{Outcome: "not-run", Reason: reason, Message: err.Error()})
 }
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -64,7 +64,7 @@
 
 // Counter counts final answers.
 type Counter interface {
-	Answered(s ident.Service, kind, outcome, reason string, took time.Duration)
+	RecordAnswer(s ident.Service, kind, outcome, reason string, took time.Duration)
 }
 
 // Options are what an Entry needs.
@@ -179,7 +179,7 @@
 		f = e.unary(x, r)
 	}
 	took := time.Since(start)
-	e.o.Counter.Answered(m.Service.Name, m.Kind.Name, f.Outcome.String(), string(f.Reason), took)
+	e.o.Counter.RecordAnswer(m.Service.Name, m.Kind.Name, f.Outcome.String(), string(f.Reason), took)
 	if f.Outcome != retry.Answered {
 		e.o.Log.Info().Str("request-id", r.id).Str("service", string(m.Service.Name)).Str("kind", m.Kind.Name).
 			Str("outcome", f.Outcome.String()).Str("reason", string(f.Reason)).Int("sends", r.entry.Sends()).
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -132,7 +132,7 @@
 
 type noCounter struct{}
 
-func (noCounter) Answered(ident.Service, string, string, string, time.Duration) {}
+func (noCounter) RecordAnswer(ident.Service, string, string, string, time.Duration) {}
 
 // start serves the two services, all homes being on this daemon.
 func start(t *testing.T) (string, *homes) {
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -119,7 +119,7 @@
 // longestPause returns the longest pause between two failed calls. The coordinator is the first to learn that the store is
 // back; the others pause for longer.
 func (f *Feed) longestPause() time.Duration {
-	if f.Leads() {
+	if f.IsCoordinator() {
 		return maxPause
 	}
 	return followerPause
@@ -173,7 +173,7 @@
 	case rows == 0:
 	case t == store.Servers:
 		clock.Sleep(c, newsPause)
-	case t == store.Control && f.Leads():
+	case t == store.Control && f.IsCoordinator():
 		clock.Sleep(c, controlNewsPause)
 	}
 }
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -166,8 +166,8 @@
 	return f.changed
 }
 
-// Leads reports whether this life of the daemon is the coordinator, as far as it knows.
-func (f *Feed) Leads() bool {
+// IsCoordinator reports whether this life of the daemon is the coordinator, as far as it knows.
+func (f *Feed) IsCoordinator() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leads()
@@ -204,9 +204,9 @@
 	return copied, coordinator
 }
 
-// Cut returns for how long this daemon may have been cut off from the rest of its site: neither the store answered it, nor
+// IsolatedFor returns for how long this daemon may have been cut off from the rest of its site: neither the store answered it, nor
 // did it hear that the coordinator runs, nor any daemon of another failure domain. It is zero where there are no others.
-func (f *Feed) Cut() time.Duration {
+func (f *Feed) IsolatedFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.snapshot.Daemons) < 2 {
@@ -272,9 +272,9 @@
 	return f.support.HasQuorum(f.o.Clock.Boot(), f.o.Self, voters(f.snapshot), f.proposed)
 }
 
-// HasTurn reports whether this daemon is the coordinator of the term, and has the support that it needs. A term that needs
+// HoldsTerm reports whether this daemon is the coordinator of the term, and has the support that it needs. A term that needs
 // none needs it as soon as a row is proposed that ends this: a successor may count on it already.
-func (f *Feed) HasTurn(t site.Term) bool {
+func (f *Feed) HoldsTerm(t site.Term) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.snapshot.Coordinator
@@ -343,8 +343,8 @@
 	return r, ok
 }
 
-// Learn takes in rows that this daemon has written itself, so that it needn't wait to hear of them.
-func (f *Feed) Learn(rows []store.Row) {
+// ApplyWritten takes in rows that this daemon has written itself, so that it needn't wait to hear of them.
+func (f *Feed) ApplyWritten(rows []store.Row) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := &f.tables[store.Control]
--- a/io/feed/feed_test.go
+++ b/io/feed/feed_test.go
@@ -399,18 +399,18 @@
 	f.Announced(1)
 	require.Eventually(t, func() bool { return f.Known() && l.Known() }, time.Second, 5*time.Millisecond)
 	time.Sleep(2500 * time.Millisecond)
-	require.Less(t, f.Cut(), 2*time.Second, "the store answers")
+	require.Less(t, f.IsolatedFor(), 2*time.Second, "the store answers")
 	require.True(t, l.Supported(), "two of three")
 	m.hang(true)
 	n.hang(true)
 	time.Sleep(2500 * time.Millisecond)
-	require.Less(t, f.Cut(), 2*time.Second, "the coordinator has the support of most: the store alone is away")
+	require.Less(t, f.IsolatedFor(), 2*time.Second, "the coordinator has the support of most: the store alone is away")
 	for _, x := range []*Feed{l, f} {
 		for _, d := range []ident.Daemon{"far2", "far3", "far4"} {
 			v, err := proto.Marshal(&wire.DaemonRow{Domain: "b", Peer: "127.0.0.1:1", Incarnation: 1})
 			require.NoError(t, err)
-			x.Learn([]store.Row{{Key: DaemonRow(d), Value: v, Rev: 1000}})
+			x.ApplyWritten([]store.Row{{Key: DaemonRow(d), Value: v, Rev: 1000}})
 		}
 	}
-	require.Eventually(t, func() bool { return l.Cut() > 2*time.Second && f.Cut() > 2*time.Second }, 5*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return l.IsolatedFor() > 2*time.Second && f.IsolatedFor() > 2*time.Second }, 5*time.Second, 20*time.Millisecond)
 }
--- a/io/feed/fleet_test.go
+++ b/io/feed/fleet_test.go
@@ -163,7 +163,7 @@
 	v, err := proto.Marshal(&wire.CoordinatorRow{Daemon: string(first.o.Self), Incarnation: 1, Term: 1})
 	require.NoError(t, err)
 	m.put(store.Control, CoordinatorRow, v, false)
-	first.Learn([]store.Row{{Key: CoordinatorRow, Value: v, Rev: m.rev}})
+	first.ApplyWritten([]store.Row{{Key: CoordinatorRow, Value: v, Rev: m.rev}})
 	require.Eventually(t, func() bool {
 		for _, f := range feeds {
 			if !f.Known() || f.Snapshot().Coordinator.Term == 0 {
@@ -185,13 +185,13 @@
 	f.mu.Unlock()
 	v, err := proto.Marshal(&wire.CoordinatorRow{Daemon: "d1", Incarnation: 1, Term: 2, Voters: []string{"d0", "d1", "d2"}})
 	require.NoError(t, err)
-	f.Learn([]store.Row{{Key: CoordinatorRow, Value: v, Rev: x.m.rev + 1}})
+	f.ApplyWritten([]store.Row{{Key: CoordinatorRow, Value: v, Rev: x.m.rev + 1}})
 	to, ok := f.next()
 	require.True(t, ok)
 	require.Equal(t, ident.Daemon("d1"), to.Peer)
 	v, err = proto.Marshal(&wire.CoordinatorRow{Term: 2, Clean: true, Voters: []string{"d3"}})
 	require.NoError(t, err)
-	f.Learn([]store.Row{{Key: CoordinatorRow, Value: v, Rev: x.m.rev + 2}})
+	f.ApplyWritten([]store.Row{{Key: CoordinatorRow, Value: v, Rev: x.m.rev + 2}})
 	to, ok = f.next()
 	require.True(t, ok)
 	require.Equal(t, ident.Daemon("d3"), to.Peer, "the first candidate, while the turn is nobody's")
--- a/io/grant/elect.go
+++ b/io/grant/elect.go
@@ -65,7 +65,7 @@
 	g.o.Log.Info().Uint64("term", uint64(was.Term)+1).Bool("clean", t.Clean).Bool("without-quorum", t.WithoutQuorum).Str("before", string(was.Daemon)).
 		Msg("became the coordinator")
 	g.o.Feed.Confirm(asked)
-	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
+	g.o.Feed.ApplyWritten([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
 	return true
 }
 
@@ -123,7 +123,7 @@
 		g.o.Log.Warn().Err(err).Msg("turn not handed over, another daemon takes it later")
 		return
 	}
-	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
+	g.o.Feed.ApplyWritten([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
 	g.o.Log.Info().Uint64("term", uint64(term)).Msg("turn handed over")
 }
 
@@ -132,5 +132,5 @@
 
 // mayOrder is asked right before each order: the process may have stood still, and another may lead by now.
 func (g *Granter) mayOrder(term site.Term) bool {
-	return g.o.Feed.HasTurn(term) && g.o.Feed.Confirmed() < right
+	return g.o.Feed.HoldsTerm(term) && g.o.Feed.Confirmed() < right
 }
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -137,7 +137,7 @@
 // has ended it can't be taken up again.
 func (g *Granter) Leave(c context.Context) {
 	g.leaving.Store(true)
-	for g.o.Feed.Leads() && !g.storeAnswers(c) {
+	for g.o.Feed.IsCoordinator() && !g.storeAnswers(c) {
 		if c.Err() != nil {
 			return
 		}
--- a/io/grant/member.go
+++ b/io/grant/member.go
@@ -67,5 +67,5 @@
 	for _, k := range x.Drop {
 		rows = append(rows, store.Row{Key: k, Rev: rev, Gone: true})
 	}
-	g.o.Feed.Learn(rows)
+	g.o.Feed.ApplyWritten(rows)
 }
--- a/io/grant/voters.go
+++ b/io/grant/voters.go
@@ -70,7 +70,7 @@
 		return
 	}
 	g.o.Log.Info().Strs("voters", names(next)).Bool("without-quorum", s.Coordinator.WithoutQuorum && !supported).Msg("voters replaced")
-	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
+	g.o.Feed.ApplyWritten([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
 	g.followRow()
 }
 
--- a/io/grant/write.go
+++ b/io/grant/write.go
@@ -89,7 +89,7 @@
 	x.writing = false
 	key := feed.KeysRow(w.service)
 	if w.err == nil {
-		g.o.Feed.Learn([]store.Row{{Key: key, Value: w.value, Rev: w.rev}})
+		g.o.Feed.ApplyWritten([]store.Row{{Key: key, Value: w.value, Rev: w.rev}})
 		if changed := !slices.Equal(x.written, w.pieces); changed {
 			g.o.Log.Info().Str("service", string(w.service)).Int("ranges", len(w.pieces)).Msg("keys assigned")
 		}
@@ -98,7 +98,7 @@
 		return
 	}
 	g.o.Log.Warn().Err(w.err).Str("service", string(w.service)).Int("ranges", len(w.pieces)).Int("bytes", len(w.value)).Msg("assignment not written")
-	g.o.Feed.Learn(w.rows)
+	g.o.Feed.ApplyWritten(w.rows)
 	for _, r := range w.rows {
 		if r.Key == key && r.Rev != x.rev {
 			g.o.Log.Info().Str("service", string(w.service)).Bool("own", string(r.Value) == string(w.value)).Msg("assignment read again")
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -1,5 +1,5 @@
-// Package guard keeps requests that crash backend servers from them. It probes servers whose runs broke off, shares the
-// crashes that it finds with all daemons by rows of the store, and tells which requests are refused.
+// Package guard detects requests that crash backend servers. It probes servers after interrupted runs, shares the crashes that
+// it detects with all daemons as rows of the store, and reports how many consecutive crashes a request has caused.
 package guard
 
 import (
@@ -29,78 +29,78 @@
 	"heatherrouter/io/wire"
 )
 
-// View is what the daemon knows.
+// View provides the daemon's view of its site.
 type View interface {
 	Snapshot() *site.Snapshot
-	Leads() bool
-	Row(key string) (store.Row, bool)
-	Learn(rows []store.Row)
+	IsCoordinator() bool              // whether this daemon is the coordinator
+	Row(key string) (store.Row, bool) // row as last read; false if it doesn't exist
+	ApplyWritten(rows []store.Row)    // applies rows that this daemon has written to the store
 }
 
-// Counter counts crashes of servers.
+// Counter counts crashes of backend servers.
 type Counter interface {
-	Crashed(s ident.Service)
+	RecordCrash(s ident.Service)
 }
 
-// Options are what a Guard needs.
+// Options configures a Guard.
 type Options struct {
 	View    View
 	Store   store.Store
 	Clock   *clock.Clock
 	Counter Counter
 	Log     *log.Logger
-	Dial    func(c context.Context, a netip.AddrPort) error // connects to a server, to find out whether it is there
+	Dial    func(c context.Context, a netip.AddrPort) error // connects to a server to detect whether it is running
 }
 
 const (
-	// probeDelay is how long after a run broke off its server is probed: the system closes a process's connections one by
-	// one, and its listener may go last.
+	// probeDelay is the time from an interrupted run to the probe of its server. The operating system closes the sockets of
+	// a crashed process one by one, and its listener may be the last.
 	probeDelay = 30 * time.Millisecond
 
-	// probeTimeout is how long a server may take to accept a connection. One that doesn't answer isn't taken for crashed.
+	// probeTimeout bounds the time to connect to a server. A server that doesn't answer is not considered crashed.
 	probeTimeout = time.Second
 
-	// probers is how many servers are probed at once.
-	probers = 8
+	// maxProbes is the number of servers that are probed concurrently. As many more may be queued.
+	maxProbes = 8
 
-	// writePause is between two transactions, and spread for each daemon of the site the most that is added at random: a
-	// crash is seen by many daemons at once.
-	writePause = 250 * time.Millisecond
-	spread     = 3 * time.Millisecond
+	// writeInterval is the pause between two transactions, and writeJitter the maximum random addition to it for each daemon
+	// of the site. Many daemons observe the same crash at once and would otherwise write their records simultaneously.
+	writeInterval = 250 * time.Millisecond
+	writeJitter   = 3 * time.Millisecond
 
-	// maxWritten bounds the rows of one transaction.
-	maxWritten = 50
+	// maxTxnRows bounds the rows in one transaction.
+	maxTxnRows = 50
 
-	// dropEvery is how often the coordinator looks for old records.
-	dropEvery = time.Second
+	// expiryInterval is the interval at which the coordinator deletes expired records.
+	expiryInterval = time.Second
 )
 
-// Guard is one daemon's part.
+// Guard detects requests that crash backend servers, for one daemon. It is safe for concurrent use.
 type Guard struct {
-	o      Options
-	broken chan *site.Server
-	found  chan struct{} // something is to be written
+	o           Options
+	toProbe     chan *site.Server
+	writeNeeded chan struct{} // signals that a change may have to be written
 
 	mu      sync.Mutex
 	tracker *crash.Tracker
-	probing map[crash.Life]chan struct{} // closed once it is known whether the server has crashed
+	probes  map[crash.Life]chan struct{} // closed once it is known whether the server has crashed
 }
 
-// New returns a guard; Run starts it.
+// New returns a Guard. Run starts its background work.
 func New(o Options) *Guard {
-	return &Guard{o: o, broken: make(chan *site.Server, probers), found: make(chan struct{}, 1), tracker: crash.NewTracker(), probing: map[crash.Life]chan struct{}{}}
+	return &Guard{o: o, toProbe: make(chan *site.Server, maxProbes), writeNeeded: make(chan struct{}, 1), tracker: crash.NewTracker(), probes: map[crash.Life]chan struct{}{}}
 }
 
-// Run starts probing servers and sharing what is found.
+// Run starts probing servers, writing crash records and deleting expired ones.
 func (g *Guard) Run(r *group.Group) {
-	for range probers {
+	for range maxProbes {
 		r.Go(g.probe)
 	}
-	r.Go(g.share)
-	r.Go(g.drop)
+	r.Go(g.writeChanges)
+	r.Go(g.expireRecords)
 }
 
-// Dial connects to a server and closes the connection again.
+// Dial connects to a server and closes the connection. It returns an error if the server doesn't accept the connection.
 func Dial(c context.Context, a netip.AddrPort) error {
 	var d net.Dialer
 	x, err := d.DialContext(c, "tcp", a.String())
@@ -110,8 +110,8 @@
 	return x.Close()
 }
 
-// Watches reports whether any request is suspected, so that requests need a fingerprint.
-func (g *Guard) Watches() bool {
+// HasSuspects reports whether any request is suspected of crashing servers. Only then do requests need a fingerprint.
+func (g *Guard) HasSuspects() bool {
 	if len(g.o.View.Snapshot().Crashes) > 0 {
 		return true
 	}
@@ -120,7 +120,7 @@
 	return !g.tracker.Empty()
 }
 
-// Crashes returns how many servers crashed under the request, one after the other.
+// Crashes returns the number of consecutive server crashes for the request.
 func (g *Guard) Crashes(f crash.Fingerprint) int {
 	r := g.o.View.Snapshot().Crashes
 	g.mu.Lock()
@@ -128,112 +128,112 @@
 	return g.tracker.Crashes(r, f)
 }
 
-// Answered takes in that a server ran the request to an end.
+// Answered records that a server completed the request.
 func (g *Guard) Answered(f crash.Fingerprint) {
 	r := g.o.View.Snapshot().Crashes
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.tracker.Answered(g.o.Clock.Now(), r, f) {
-		g.wake()
+		g.notifyWriter()
 	}
 }
 
-// wake tells the duty that shares crashes that there is something to write.
-func (g *Guard) wake() {
+// notifyWriter makes writeChanges check for changes to write. It never blocks.
+func (g *Guard) notifyWriter() {
 	select {
-	case g.found <- struct{}{}:
+	case g.writeNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// Broke takes in that a run at the server broke off. The channel is closed once it is known whether the server has crashed,
-// and already where it isn't probed.
-func (g *Guard) Broke(x *site.Server, r crash.Run) <-chan struct{} {
+// Interrupted records that a run on the server was interrupted. The channel is closed once it is known whether the server has
+// crashed. If the server isn't probed, the channel is already closed.
+func (g *Guard) Interrupted(x *site.Server, r crash.Run) <-chan struct{} {
 	if s := g.o.View.Snapshot().Servers[x.ID]; s == nil || s.Draining {
-		return probed // it leaves, or has left
+		return closedChannel // the server is shutting down or was removed
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := lifeOf(x)
+	l := incarnationOf(x)
 	if !g.tracker.Broke(g.o.Clock.Now(), l, r) {
-		return cmp.Or(g.probing[l], probed)
+		return cmp.Or(g.probes[l], closedChannel)
 	}
 	select {
-	case g.broken <- x:
-		g.probing[l] = make(chan struct{})
-		return g.probing[l]
+	case g.toProbe <- x:
+		g.probes[l] = make(chan struct{})
+		return g.probes[l]
 	default:
-		g.tracker.Lives(l) // too many at once to probe
-		return probed
+		g.tracker.Lives(l) // the queue of probes is full
+		return closedChannel
 	}
 }
 
-// probed is a closed channel.
-var probed = func() chan struct{} {
+// closedChannel is returned for servers that aren't probed.
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// lifeOf returns the digest of a server's life.
-func lifeOf(x *site.Server) crash.Life {
+// incarnationOf returns the hash of a server's ID and start time.
+func incarnationOf(x *site.Server) crash.Life {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(string(x.ID) + " " + strconv.FormatInt(x.Born, 10))) // never fails
 	return crash.Life(h.Sum64())
 }
 
-// probe finds out whether servers whose runs broke off have crashed.
+// probe connects to servers with interrupted runs to detect whether they have crashed.
 func (g *Guard) probe(c context.Context) error {
 	for {
 		select {
 		case <-c.Done():
 			return nil
-		case x := <-g.broken:
+		case x := <-g.toProbe:
 			clock.Sleep(c, probeDelay)
 			y, cancel := context.WithTimeout(c, probeTimeout)
 			err := g.o.Dial(y, x.Addr)
 			cancel()
-			g.takeProbe(x, err)
+			g.applyProbe(x, err)
 		}
 	}
 }
 
-// takeProbe takes in how a connection to the server ended. Only a refusal tells that nobody listens there.
-func (g *Guard) takeProbe(x *site.Server, err error) {
+// applyProbe records the result of a probe. Only a refused connection means that no process listens on the address.
+func (g *Guard) applyProbe(x *site.Server, err error) {
 	r := g.o.View.Snapshot().Crashes
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := lifeOf(x)
-	if c := g.probing[l]; c != nil {
+	l := incarnationOf(x)
+	if c := g.probes[l]; c != nil {
 		defer close(c)
-		delete(g.probing, l)
+		delete(g.probes, l)
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		g.tracker.Lives(l)
 		return
 	}
-	blamed := g.tracker.Crashed(g.o.Clock.Now(), r, l)
-	if len(blamed) == 0 {
+	suspects := g.tracker.Crashed(g.o.Clock.Now(), r, l)
+	if len(suspects) == 0 {
 		return
 	}
-	names := make([]string, 0, len(blamed))
-	for _, f := range blamed {
+	names := make([]string, 0, len(suspects))
+	for _, f := range suspects {
 		names = append(names, f.String())
 	}
-	g.o.Counter.Crashed(x.Service)
+	g.o.Counter.RecordCrash(x.Service)
 	g.o.Log.Warn().Str("server", string(x.ID)).Str("service", string(x.Service)).Int64("born", x.Born).
 		Strs("fingerprints", names).Msg("server crashed under requests")
-	g.wake()
+	g.notifyWriter()
 }
 
-// share writes what this daemon has seen until the records have it.
-func (g *Guard) share(c context.Context) error {
+// writeChanges writes the crashes and answers that this daemon has observed, and retries until the records include them.
+func (g *Guard) writeChanges(c context.Context) error {
 	for c.Err() == nil {
 		l := g.changes()
 		if len(l) == 0 {
 			select {
 			case <-c.Done():
-			case <-g.found:
+			case <-g.writeNeeded:
 			}
 			continue
 		}
@@ -244,7 +244,7 @@
 		if err != nil {
 			g.o.Log.Info().Err(err).Int("rows", len(l)).Msg("crashes not shared")
 		}
-		clock.Sleep(c, writePause+rand.N(spread*time.Duration(max(1, len(g.o.View.Snapshot().Daemons)))))
+		clock.Sleep(c, writeInterval+rand.N(writeJitter*time.Duration(max(1, len(g.o.View.Snapshot().Daemons)))))
 	}
 	return nil
 }
@@ -253,10 +253,11 @@
 	r := g.o.View.Snapshot().Crashes
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.tracker.Changes(g.o.Clock.Now(), r, maxWritten)
+	return g.tracker.Changes(g.o.Clock.Now(), r, maxTxnRows)
 }
 
-// writeEach makes each change in a transaction of its own: a row that other daemons change, too, must not hold up the others.
+// writeEach writes each change in a separate transaction. Otherwise a row that other daemons keep changing would make every
+// transaction conflict and block the other rows.
 func (g *Guard) writeEach(c context.Context, l []crash.Change) error {
 	var failed error
 	for _, x := range l {
@@ -267,7 +268,8 @@
 	return failed
 }
 
-// write makes the changes in one transaction, as of the rows known here. What it did, the next copy of the rows tells.
+// write writes the changes in one transaction that expects the rows in the revisions of this daemon's copy. If its outcome is
+// unknown, the next copy of the rows shows whether it was committed.
 func (g *Guard) write(c context.Context, l []crash.Change) error {
 	var x store.Txn
 	for _, n := range l {
@@ -287,7 +289,7 @@
 	return g.commit(c, x)
 }
 
-// commit makes a transaction and takes its rows in.
+// commit commits a transaction and applies its rows to the view.
 func (g *Guard) commit(c context.Context, x store.Txn) error {
 	rev, err := g.o.Store.Commit(c, x)
 	if err != nil {
@@ -300,27 +302,27 @@
 	for _, k := range x.Drop {
 		rows = append(rows, store.Row{Key: k, Rev: rev, Gone: true})
 	}
-	g.o.View.Learn(rows)
+	g.o.View.ApplyWritten(rows)
 	return nil
 }
 
-// drop drops old records while this daemon is the coordinator.
-func (g *Guard) drop(c context.Context) error {
-	t := time.NewTicker(dropEvery)
+// expireRecords deletes expired records while this daemon is the coordinator.
+func (g *Guard) expireRecords(c context.Context) error {
+	t := time.NewTicker(expiryInterval)
 	defer t.Stop()
-	aging := crash.NewAging()
+	expiry := crash.NewAging()
 	for {
 		select {
 		case <-c.Done():
 			return nil
 		case <-t.C:
 		}
-		old := aging.Expired(g.o.Clock.Now(), g.o.View.Snapshot().Crashes)
-		if !g.o.View.Leads() || len(old) == 0 {
+		expired := expiry.Expired(g.o.Clock.Now(), g.o.View.Snapshot().Crashes)
+		if !g.o.View.IsCoordinator() || len(expired) == 0 {
 			continue
 		}
 		var x store.Txn
-		for _, f := range old[:min(len(old), maxWritten)] {
+		for _, f := range expired[:min(len(expired), maxTxnRows)] {
 			row, _ := g.o.View.Row(feed.CrashRow(f))
 			x.Expect = append(x.Expect, store.Expect{Key: row.Key, Rev: row.Rev})
 			x.Drop = append(x.Drop, row.Key)
@@ -333,14 +335,14 @@
 	}
 }
 
-// State is one record, for the state page.
+// State is one crash record, for the state page.
 type State struct {
 	Fingerprint string `json:"fingerprint"`
-	Crashes     int    `json:"crashes"`
-	Refused     bool   `json:"refused"`
+	Crashes     int    `json:"crashes"` // number of consecutive server crashes
+	Refused     bool   `json:"refused"` // whether the request is no longer sent to servers
 }
 
-// States returns the records, those of most crashes first.
+// States returns the records, sorted by decreasing number of crashes.
 func (g *Guard) States() []State {
 	var l []State
 	for f, n := range g.o.View.Snapshot().Crashes {
--- a/io/guard/guard_test.go
+++ b/io/guard/guard_test.go
@@ -25,29 +25,29 @@
 	"heatherrouter/io/wire"
 )
 
-// memorySite is a view and a store in memory. The view knows what the store has; some transactions fail.
-type memorySite struct {
+// fakeSite implements View, store.Store and Counter in memory. The view is always up to date; transactions may fail on request.
+type fakeSite struct {
 	store.Store
-	mu      sync.Mutex
-	rows    map[string]store.Row
-	rev     store.Rev
-	fail    []error // of the next transactions; one is carried out all the same where it is errUnknown
-	leads   bool
-	server  *site.Server
-	crashes int
-	ahead   string // a row that others change faster than the view learns of it
+	mu          sync.Mutex
+	rows        map[string]store.Row
+	rev         store.Rev
+	fail        []error // results of the next transactions; one that fails with errUnknown is committed nevertheless
+	coordinator bool
+	server      *site.Server
+	crashes     int
+	contended   string // key of a row that others change faster than the view is updated, so that transactions conflict
 }
 
 var errUnknown = os.ErrDeadlineExceeded
 
-func newSite() *memorySite {
-	return &memorySite{
+func newSite() *fakeSite {
+	return &fakeSite{
 		rows:   map[string]store.Row{},
 		server: &site.Server{ID: "i-1", Service: "x", Born: 7, Addr: netip.MustParseAddrPort("127.0.0.1:1")},
 	}
 }
 
-func (s *memorySite) Snapshot() *site.Snapshot {
+func (s *fakeSite) Snapshot() *site.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := &site.Snapshot{Servers: map[ident.Server]*site.Server{s.server.ID: s.server}, Crashes: crash.Records{}}
@@ -62,18 +62,18 @@
 	return x
 }
 
-func (s *memorySite) Leads() bool { return s.leads }
+func (s *fakeSite) IsCoordinator() bool { return s.coordinator }
 
-func (s *memorySite) Row(key string) (store.Row, bool) {
+func (s *fakeSite) Row(key string) (store.Row, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.rows[key]
 	return r, ok
 }
 
-func (s *memorySite) Learn([]store.Row) {}
+func (s *fakeSite) ApplyWritten([]store.Row) {}
 
-func (s *memorySite) Commit(_ context.Context, x store.Txn) (store.Rev, error) {
+func (s *fakeSite) Commit(_ context.Context, x store.Txn) (store.Rev, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var err error
@@ -84,7 +84,7 @@
 		return 0, err
 	}
 	for _, e := range x.Expect {
-		if s.rows[e.Key].Rev != e.Rev || e.Key == s.ahead {
+		if s.rows[e.Key].Rev != e.Rev || e.Key == s.contended {
 			return 0, store.ErrConflict
 		}
 	}
@@ -99,15 +99,15 @@
 	return s.rev, err
 }
 
-func (s *memorySite) Crashed(ident.Service) {
+func (s *fakeSite) RecordCrash(ident.Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashes++
 }
 
-func (s *memorySite) recorded(f crash.Fingerprint) int { return s.Snapshot().Crashes[f] }
+func (s *fakeSite) recordedCrashes(f crash.Fingerprint) int { return s.Snapshot().Crashes[f] }
 
-func start(t *testing.T, s *memorySite, dial error) *Guard {
+func start(t *testing.T, s *fakeSite, dial error) *Guard {
 	t.Helper()
 	g := New(Options{
 		View: s, Store: s, Clock: clock.New(), Counter: s, Log: &log.Logger{Writer: &log.IOWriter{Writer: &bytes.Buffer{}}},
@@ -121,8 +121,8 @@
 
 var refused = &os.SyscallError{Syscall: "connect", Err: syscall.ECONNREFUSED}
 
-// Guards against blame where no server crashed: it takes connections, it doesn't answer, or it had announced that it leaves.
-func TestOnlyRefusedConnectionIsCrash(t *testing.T) {
+// Guards against crashes counted for a server that accepts connections, doesn't answer the probe, or is draining.
+func TestOnlyRefusedProbeIsCrash(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		dial     error
@@ -131,7 +131,7 @@
 	}{
 		{"refused", refused, false, 1},
 		{"accepted", nil, false, 0},
-		{"silent", context.DeadlineExceeded, false, 0},
+		{"timeout", context.DeadlineExceeded, false, 0},
 		{"draining", refused, true, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -140,16 +140,16 @@
 			s.server.Draining = x.draining
 			g := start(t, s, x.dial)
 			f := crash.Fingerprint{1}
-			g.Broke(s.server, crash.Run{Fingerprint: f})
+			g.Interrupted(s.server, crash.Run{Fingerprint: f})
 			time.Sleep(500 * time.Millisecond)
-			require.Equal(t, x.crashes, s.recorded(f))
+			require.Equal(t, x.crashes, s.recordedCrashes(f))
 			require.Equal(t, x.crashes, g.Crashes(f))
 		})
 	}
 }
 
-// Guards against crashes that are lost, or counted twice, when transactions fail or end unknown.
-func TestCrashesAreSharedDespiteFailedTransactions(t *testing.T) {
+// Guards against crashes that are lost or counted twice when transactions fail or their outcome is unknown.
+func TestCrashesAreRecordedDespiteFailedTransactions(t *testing.T) {
 	s := newSite()
 	s.fail = []error{store.ErrNotDone, errUnknown, store.ErrConflict}
 	g := start(t, s, refused)
@@ -157,15 +157,15 @@
 	for born := range int64(3) {
 		x := *s.server
 		x.Born = born
-		<-g.Broke(&x, crash.Run{Fingerprint: f, Known: g.Crashes(f)})
+		<-g.Interrupted(&x, crash.Run{Fingerprint: f, Known: g.Crashes(f)})
 	}
-	require.Eventually(t, func() bool { return s.recorded(f) == 3 }, 5*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return s.recordedCrashes(f) == 3 }, 5*time.Second, 10*time.Millisecond)
 	require.Equal(t, crash.RefusedFrom, g.Crashes(f))
 	require.Equal(t, 3, s.crashes)
 }
 
-// Guards against a record that stays after its request was answered, though no more crashes come.
-func TestAnsweredRequestLosesItsRecord(t *testing.T) {
+// Guards against a record that is kept after its request was answered because no further crash triggers a write.
+func TestAnswerDeletesRecord(t *testing.T) {
 	s := newSite()
 	g := start(t, s, refused)
 	f := crash.Fingerprint{1}
@@ -174,20 +174,20 @@
 	s.mu.Lock()
 	s.rows[feed.CrashRow(f)] = store.Row{Key: feed.CrashRow(f), Value: v, Rev: 5}
 	s.mu.Unlock()
-	require.True(t, g.Watches())
-	time.Sleep(50 * time.Millisecond) // the duty waits
+	require.True(t, g.HasSuspects())
+	time.Sleep(50 * time.Millisecond) // until writeChanges waits for a signal
 	g.Answered(f)
-	require.Eventually(t, func() bool { return s.recorded(f) == 0 }, 2*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return s.recordedCrashes(f) == 0 }, 2*time.Second, 10*time.Millisecond)
 	require.Zero(t, g.Crashes(f))
 }
 
-// Guards against a record that others change all the time and that holds up those beside it.
-func TestContendedRecordHoldsUpNoOther(t *testing.T) {
+// Guards against a record that other daemons change all the time and that keeps the other records from being written.
+func TestContendedRecordDoesNotBlockOthers(t *testing.T) {
 	s := newSite()
-	popular, deadly := crash.Fingerprint{1}, crash.Fingerprint{2}
-	s.ahead = feed.CrashRow(popular)
+	frequent, crashing := crash.Fingerprint{1}, crash.Fingerprint{2}
+	s.contended = feed.CrashRow(frequent)
 	g := start(t, s, refused)
-	g.Broke(s.server, crash.Run{Fingerprint: popular})
-	g.Broke(s.server, crash.Run{Fingerprint: deadly})
-	require.Eventually(t, func() bool { return s.recorded(deadly) == 1 }, 2*time.Second, 10*time.Millisecond)
+	g.Interrupted(s.server, crash.Run{Fingerprint: frequent})
+	g.Interrupted(s.server, crash.Run{Fingerprint: crashing})
+	require.Eventually(t, func() bool { return s.recordedCrashes(crashing) == 1 }, 2*time.Second, 10*time.Millisecond)
 }
--- a/io/limit/limit.go
+++ b/io/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit enforces each organisation's request limit across all daemons. The coordinator grants tokens; each daemon
-// caches a few and requests more as needed.
+// Package limit enforces each organisation's request limit across all daemons. The coordinator grants tokens to daemons. Each
+// daemon caches a few of them and asks for more as needed.
 package limit
 
 import (
@@ -24,8 +24,8 @@
 // View provides the daemon's view of its site.
 type View interface {
 	Snapshot() *site.Snapshot
-	HasTurn(t site.Term) bool
-	Cut() time.Duration // how long the daemon may have been cut off from its site
+	HoldsTerm(t site.Term) bool // whether the daemon is the coordinator of the term and has the required quorum
+	IsolatedFor() time.Duration // how long the daemon may have been isolated from its site
 }
 
 // Caller sends calls to other daemons.
@@ -35,38 +35,40 @@
 
 // Options configures a Limiter.
 type Options struct {
-	Self  ident.Daemon
-	Life  ident.Incarnation
-	View  View
-	Terms quota.Terms
-	Clock *clock.Clock
-	Log   *log.Logger
+	Self        ident.Daemon
+	Incarnation ident.Incarnation
+	View        View
+	Policy      quota.Terms
+	Clock       *clock.Clock
+	Log         *log.Logger
 }
 
 const (
 	// askTimeout bounds a call that asks the coordinator for tokens.
 	askTimeout = 250 * time.Millisecond
 
-	// minAskInterval is the minimum time between two such calls.
+	// minAskInterval is the minimum time between two calls that ask the coordinator for tokens.
 	minAskInterval = 10 * time.Millisecond
 
 	// maxWait is the longest time that a request waits for a token.
 	maxWait = 400 * time.Millisecond
 
-	// cutAfter is the time without contact to the site after which the daemon is considered cut off.
-	cutAfter = 2 * time.Second
+	// isolatedAfter is the time without contact to the site after which the daemon is considered isolated.
+	isolatedAfter = 2 * time.Second
 
-	// retryJitter is the upper bound of the random delay added to retry times, so that callers don't retry simultaneously.
+	// retryJitter is the maximum random delay added to retry times, so that callers don't retry simultaneously.
 	retryJitter = 200 * time.Millisecond
 
-	forgetInterval = time.Second
+	// cleanupInterval is the minimum time between two removals of departed daemons from the ledger.
+	cleanupInterval = time.Second
 )
 
-// Limiter manages one daemon's tokens and, while the daemon is the coordinator, the site's ledger.
+// Limiter manages one daemon's tokens and, while the daemon is the coordinator, the site's ledger. It is safe for concurrent
+// use.
 type Limiter struct {
 	o           Options
 	peers       Caller
-	tokenNeeded chan struct{} // signals that a request waits for a token
+	tokenNeeded chan struct{} // signals that a request is waiting for a token
 
 	mu       sync.Mutex
 	tokens   *quota.TokenCache
@@ -74,17 +76,17 @@
 	answered chan struct{} // closed and replaced when an ask is answered or fails
 
 	ledger     *quota.Ledger
-	term       site.Term    // of the ledger
-	configured *site.Config // last applied to the ledger
-	daemons    []ident.Daemon
-	listedFrom *site.Snapshot // from which daemons was built
-	forgotAt   mono.Time      // when expired daemons were last removed from the ledger
+	term       site.Term      // term of the ledger
+	configured *site.Config   // configuration last applied to the ledger
+	daemons    []ident.Daemon // sorted names of the daemons in daemonsOf
+	daemonsOf  *site.Snapshot
+	cleanedAt  mono.Time // when departed daemons were last removed from the ledger
 }
 
-// New returns a limiter; Run starts it.
+// New returns a Limiter. It asks the coordinator for tokens once Run is called.
 func New(o Options) *Limiter {
 	return &Limiter{
-		o: o, tokenNeeded: make(chan struct{}, 1), refused: map[ident.Organisation]refusals{}, answered: make(chan struct{}), tokens: quota.NewTokenCache(o.Terms, o.Life, o.Clock.Now(), rand.Float64),
+		o: o, tokenNeeded: make(chan struct{}, 1), refused: map[ident.Organisation]refusals{}, answered: make(chan struct{}), tokens: quota.NewTokenCache(o.Policy, o.Incarnation, o.Clock.Now(), rand.Float64),
 	}
 }
 
@@ -96,12 +98,12 @@
 
 // Refusal describes why a request got no token.
 type Refusal struct {
-	Limited    bool // by the organisation's limit; false if no coordinator could be asked
+	Limited    bool // whether the organisation's limit is the reason; false if the coordinator did not answer
 	RetryAfter time.Duration
 }
 
-// Acquire takes a token for a request of the organisation, or returns why none is available. If none is cached, it waits for
-// the coordinator's answer.
+// Acquire takes a token for a request of the organisation and returns nil, or returns why no token is available. If none is
+// cached, it waits for the coordinator's answer, but at most maxWait.
 func (l *Limiter) Acquire(c context.Context, o *site.Organisation) *Refusal {
 	until := l.o.Clock.Now().Add(maxWait)
 	for waited := false; ; waited = true {
@@ -125,7 +127,7 @@
 	defer l.mu.Unlock()
 	now := l.o.Clock.Now()
 	if l.tokens.Unheard(now) {
-		l.tokens.Lost(now, l.o.View.Cut() > cutAfter)
+		l.tokens.Lost(now, l.o.View.IsolatedFor() > isolatedAfter)
 	}
 	d := l.tokens.Take(now, o, len(l.o.View.Snapshot().Daemons), waited)
 	switch x := d.(type) {
@@ -147,7 +149,7 @@
 	l.tokens.Wait(o.Name, -1)
 }
 
-// await reports whether an answer arrived within d.
+// await reports whether the channel answered was closed within d and before c was done.
 func (l *Limiter) await(c context.Context, answered <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -160,15 +162,15 @@
 	return false
 }
 
-// Return returns the token of a request that is known not to have run.
+// Return puts back the token of a request that is known not to have run.
 func (l *Limiter) Return(n ident.Organisation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tokens.Return(n)
 }
 
-// run asks the coordinator for tokens whenever requests wait. The coordinator also asks itself periodically; other daemons send
-// their regular asks with the feed's Sync.
+// run asks the coordinator for tokens whenever requests are waiting. The coordinator also asks itself periodically, while the
+// other daemons send their regular asks with the feed's Sync.
 func (l *Limiter) run(c context.Context) error {
 	t := time.NewTicker(elect.SyncWait(l.o.View.Snapshot(), l.o.Self))
 	defer t.Stop()
@@ -198,7 +200,7 @@
 	if err != nil && c.Err() == nil {
 		l.o.Log.Debug().Err(err).Msg("failed to get tokens from the coordinator")
 	}
-	l.Answered(asked, a, r)
+	l.ApplyAnswer(asked, a, r)
 }
 
 func (l *Limiter) call(c context.Context, a *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
@@ -207,7 +209,7 @@
 	case "":
 		return nil, trace.NotFound("no coordinator")
 	case l.o.Self:
-		return l.Grant(to, l.Report(to, a)), nil
+		return l.Grant(to, l.ApplyAsk(to, a)), nil
 	}
 	x, cancel := context.WithTimeout(c, askTimeout)
 	defer cancel()
@@ -238,13 +240,13 @@
 	return encodeAsk(l.tokens.Ask(now, horizon, s.Coordinator.Term))
 }
 
-// Answered applies the coordinator's answer r to the ask a sent at asked; r is nil if there was no answer.
-func (l *Limiter) Answered(asked mono.Time, a *wire.QuotaAsk, r *wire.QuotaAnswer) {
+// ApplyAnswer applies the coordinator's answer r to the ask a that was sent at asked. A nil r means that there was no answer.
+func (l *Limiter) ApplyAnswer(asked mono.Time, a *wire.QuotaAsk, r *wire.QuotaAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.Clock.Now()
 	if r == nil {
-		l.tokens.Lost(now, l.o.View.Cut() > cutAfter)
+		l.tokens.Lost(now, l.o.View.IsolatedFor() > isolatedAfter)
 	} else {
 		l.tokens.Answered(now, asked, decodeAnswer(r))
 		l.tokens.DelayUnanswered(now, decodeAsk(a))
--- a/io/limit/serve.go
+++ b/io/limit/serve.go
@@ -11,8 +11,8 @@
 	"heatherrouter/io/wire"
 )
 
-// Report applies a daemon's ask to the ledger if this daemon is the coordinator, and returns the ask for Grant.
-func (l *Limiter) Report(from ident.Daemon, w *wire.QuotaAsk) quota.Ask {
+// ApplyAsk applies a daemon's ask to the ledger if this daemon is the coordinator, and returns the ask for Grant.
+func (l *Limiter) ApplyAsk(from ident.Daemon, w *wire.QuotaAsk) quota.Ask {
 	a := decodeAsk(w)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -22,7 +22,7 @@
 	return a
 }
 
-// Grant answers a reported ask, or returns nil if this daemon isn't the addressed coordinator.
+// Grant answers an ask returned by ApplyAsk. It returns nil if this daemon isn't the coordinator of the ask's term.
 func (l *Limiter) Grant(from ident.Daemon, a quota.Ask) *wire.QuotaAnswer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,24 +33,24 @@
 	return encodeAnswer(x.Grant(l.o.Clock.Now(), from, a, l.daemonNames()))
 }
 
-// currentLedger returns the ledger of the current term, or nil if this daemon may not grant tokens now. HasTurn ensures that
+// currentLedger returns the ledger of the current term, or nil if this daemon may not grant tokens now. HoldsTerm ensures that
 // two coordinators never grant tokens at the same time. The caller must hold l.mu.
 func (l *Limiter) currentLedger() *quota.Ledger {
 	s := l.o.View.Snapshot()
 	t := s.Coordinator.Term
-	if s.Coordinator.Daemon != l.o.Self || s.Config == nil || !l.o.View.HasTurn(t) {
+	if s.Coordinator.Daemon != l.o.Self || s.Config == nil || !l.o.View.HoldsTerm(t) {
 		return nil
 	}
 	now := l.o.Clock.Now()
 	if l.ledger == nil || l.term != t {
-		l.ledger, l.term, l.configured = quota.NewLedger(l.o.Terms, t), t, nil
+		l.ledger, l.term, l.configured = quota.NewLedger(l.o.Policy, t), t, nil
 	}
 	if l.configured != s.Config {
 		l.ledger.Configure(now, s.Config.Organisations())
 		l.configured = s.Config
 	}
-	if now.Sub(l.forgotAt) >= forgetInterval {
-		l.forgotAt = now
+	if now.Sub(l.cleanedAt) >= cleanupInterval {
+		l.cleanedAt = now
 		l.ledger.Forget(now, func(d ident.Daemon) bool { return s.Daemons[d] != nil })
 	}
 	return l.ledger
@@ -58,8 +58,8 @@
 
 // daemonNames returns the site's daemons in sorted order. The caller must hold l.mu.
 func (l *Limiter) daemonNames() []ident.Daemon {
-	if s := l.o.View.Snapshot(); l.listedFrom != s {
-		l.daemons, l.listedFrom = slices.Sorted(maps.Keys(s.Daemons)), s
+	if s := l.o.View.Snapshot(); l.daemonsOf != s {
+		l.daemons, l.daemonsOf = slices.Sorted(maps.Keys(s.Daemons)), s
 	}
 	return l.daemons
 }
--- a/io/limit/state.go
+++ b/io/limit/state.go
@@ -9,28 +9,28 @@
 	"heatherrouter/core/site"
 )
 
-// State is one daemon's state of an organisation.
+// State is a daemon's state of an organisation, for the state page.
 type State struct {
 	Name       ident.Organisation `json:"name"`
 	Keys       int                `json:"keys"`
-	KeyDigests []string           `json:"key-digests"` // truncated; at most maxKeyDigests
+	KeyDigests []string           `json:"key-digests"` // truncated digests of the first maxKeyDigests keys
 	Rate       float64            `json:"rate"`        // requests per second; 0 for no limit
 	Burst      float64            `json:"burst"`       // requests
-	Tokens     int                `json:"tokens"`      // held by this daemon
-	Sent       int                `json:"sent"`        // by this daemon in the current window
+	Tokens     int                `json:"tokens"`      // tokens held by this daemon
+	Sent       int                `json:"sent"`        // requests sent by this daemon in the current window
 	OverLimit  int                `json:"over-limit"`  // requests refused by this daemon since its start because of the limit
-	NoAnswer   int                `json:"no-answer"`   // requests refused by it because no coordinator answered
+	NoAnswer   int                `json:"no-answer"`   // requests refused by this daemon since its start because no coordinator answered
 	Site       *SiteState         `json:"site"`        // set on the coordinator if the organisation has a limit, otherwise null
 }
 
 // SiteState is the coordinator's state of an organisation across all daemons.
 type SiteState struct {
-	Sent      int     `json:"sent"`      // requests in the current window
+	Sent      int     `json:"sent"`      // requests sent in the current window
 	Allowed   int     `json:"allowed"`   // maximum requests per window
 	Held      int     `json:"held"`      // tokens held by daemons
 	Available int     `json:"available"` // tokens in the bucket
 	Demand    float64 `json:"demand"`    // recent requests per second from callers
-	Daemons   int     `json:"daemons"`   // number that hold or want tokens
+	Daemons   int     `json:"daemons"`   // number of daemons that hold or want tokens
 }
 
 // maxKeyDigests bounds the key digests listed per organisation.
--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter holds the daemon's OpenTelemetry metrics and the page that shows them.
+// Package meter records the daemon's OpenTelemetry metrics and serves them in Prometheus format.
 package meter
 
 import (
@@ -19,18 +19,18 @@
 	"heatherrouter/core/ident"
 )
 
-// Meter counts what the daemon does.
+// Meter records the metrics of one daemon. It is safe for concurrent use.
 type Meter struct {
-	provider *sdk.MeterProvider
-	meter    metric.Meter
-	answers  metric.Int64Counter
-	took     metric.Float64Histogram
-	crashes  metric.Int64Counter
-	page     fasthttp.RequestHandler
-	options  sync.Map // answerKey -> metric.MeasurementOption
+	provider   *sdk.MeterProvider
+	meter      metric.Meter
+	answers    metric.Int64Counter
+	latency    metric.Float64Histogram
+	crashes    metric.Int64Counter
+	handler    fasthttp.RequestHandler
+	attributes sync.Map // answerKey -> metric.MeasurementOption
 }
 
-// answerKey is the attributes of one final answer.
+// answerKey holds the attributes of a final answer.
 type answerKey struct {
 	service ident.Service
 	kind    string
@@ -38,7 +38,7 @@
 	reason  string
 }
 
-// New returns the metrics of one process.
+// New returns a Meter with a registry of its own.
 func New() (*Meter, error) {
 	r := prometheus.NewRegistry()
 	e, err := otelprom.New(otelprom.WithRegisterer(r), otelprom.WithoutScopeInfo())
@@ -47,7 +47,7 @@
 	}
 	p := sdk.NewMeterProvider(sdk.WithReader(e))
 	m := &Meter{provider: p, meter: p.Meter("heatherrouter")}
-	m.page = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(r, promhttp.HandlerOpts{}))
+	m.handler = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(r, promhttp.HandlerOpts{}))
 	m.answers, err = m.meter.Int64Counter("heatherrouter.answers",
 		metric.WithDescription("final answers to callers, by what is certain about the request"))
 	if err != nil {
@@ -58,40 +58,40 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	m.took, err = m.meter.Float64Histogram("heatherrouter.answer.time", metric.WithUnit("s"),
+	m.latency, err = m.meter.Float64Histogram("heatherrouter.answer.time", metric.WithUnit("s"),
 		metric.WithDescription("from a request's arrival to the head of its final answer"),
 		metric.WithExplicitBucketBoundaries(0.0005, 0.001, 0.002, 0.004, 0.009, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 3, 10))
 	return m, trace.Wrap(err)
 }
 
-// Page returns the handler of the metrics page.
+// Page returns the handler that serves the metrics page.
 func (m *Meter) Page() fasthttp.RequestHandler {
-	return m.page
+	return m.handler
 }
 
-// Answered counts one final answer.
-func (m *Meter) Answered(s ident.Service, kind, outcome, reason string, took time.Duration) {
+// RecordAnswer counts a final answer and records its latency.
+func (m *Meter) RecordAnswer(s ident.Service, kind, outcome, reason string, took time.Duration) {
 	k := answerKey{service: s, kind: kind, outcome: outcome, reason: reason}
-	o, ok := m.options.Load(k)
+	o, ok := m.attributes.Load(k)
 	if !ok {
-		o, _ = m.options.LoadOrStore(k, metric.WithAttributeSet(attribute.NewSet(
+		o, _ = m.attributes.LoadOrStore(k, metric.WithAttributeSet(attribute.NewSet(
 			attribute.String("service", string(s)), attribute.String("kind", kind),
 			attribute.String("outcome", outcome), attribute.String("reason", reason),
 		)))
 	}
-	x := o.(metric.MeasurementOption) //nolint:errcheck,forcetypeassert // the map holds nothing else
+	x := o.(metric.MeasurementOption) //nolint:errcheck,forcetypeassert // all values of the map have this type
 	m.answers.Add(context.Background(), 1, x)
-	m.took.Record(context.Background(), took.Seconds(), x)
+	m.latency.Record(context.Background(), took.Seconds(), x)
 }
 
-// Crashed counts one crash of a backend server as this daemon saw it.
-func (m *Meter) Crashed(s ident.Service) {
+// RecordCrash counts a crash of a backend server that this daemon detected.
+func (m *Meter) RecordCrash(s ident.Service) {
 	m.crashes.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", string(s))))
 }
 
-// Gauge shows a value that is read whenever the page is.
-func (m *Meter) Gauge(name, unit, what string, read func() float64) error {
-	_, err := m.meter.Float64ObservableGauge(name, metric.WithUnit(unit), metric.WithDescription(what),
+// Gauge adds a gauge whose value is read whenever the metrics page is served.
+func (m *Meter) Gauge(name, unit, description string, read func() float64) error {
+	_, err := m.meter.Float64ObservableGauge(name, metric.WithUnit(unit), metric.WithDescription(description),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			o.Observe(read())
 			return nil
@@ -99,7 +99,7 @@
 	return trace.Wrap(err)
 }
 
-// Stop ends the metrics.
+// Stop shuts the metrics provider down.
 func (m *Meter) Stop(c context.Context) error {
 	return trace.Wrap(m.provider.Shutdown(c))
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -106,8 +106,8 @@
 		Quota:    quotaClient{n},
 	})
 	n.limiter = limit.New(limit.Options{
-		Self: s.Name, Life: n.life, View: n.feed, Clock: n.clock, Log: n.o.Log,
-		Terms: quota.Terms{Window: s.Limits.QuotaWindow, Overshoot: s.Limits.QuotaOvershoot, Slack: s.Limits.QuotaSlack},
+		Self: s.Name, Incarnation: n.life, View: n.feed, Clock: n.clock, Log: n.o.Log,
+		Policy: quota.Terms{Window: s.Limits.QuotaWindow, Overshoot: s.Limits.QuotaOvershoot, Slack: s.Limits.QuotaSlack},
 	})
 	n.granter = grant.New(grant.Options{
 		Self: s.Name, Life: n.life, Feed: n.feed, Store: n.o.Platform.Store, Speaker: n.o.Platform.Speaker,
@@ -222,7 +222,7 @@
 		}
 		row.Rev = rev
 		n.feed.Announced(rev)
-		n.feed.Learn([]store.Row{row})
+		n.feed.ApplyWritten([]store.Row{row})
 		n.whileAnnounced(c)
 	}
 	return nil
@@ -280,7 +280,7 @@
 			return nil
 		case <-t.C:
 			n.sender.Prune()
-			if n.feed.Leads() {
+			if n.feed.IsCoordinator() {
 				n.granter.Measured(n.sender.Measures())
 			}
 		}
@@ -294,7 +294,7 @@
 // isolated reports whether the daemon is cut off from the rest of its site. It would refuse most callers, while others,
 // where the balancer sends them when a daemon isn't ready, can serve them. An outage of the store alone is no such reason.
 func (n *Node) isolated() bool {
-	return n.feed.Cut() > isolatedAfter
+	return n.feed.IsolatedFor() > isolatedAfter
 }
 
 // Ready reports whether the daemon takes callers.
@@ -400,7 +400,7 @@
 
 // Answered implements feed.QuotaClient.
 func (q quotaClient) Answered(asked mono.Time, a *wire.QuotaAsk, r *wire.QuotaAnswer) {
-	q.n.limiter.Answered(asked, a, r)
+	q.n.limiter.ApplyAnswer(asked, a, r)
 }
 
 // handler answers peers.
@@ -416,7 +416,7 @@
 		r := h.sync(c, from, x.Sync)
 		return &wire.Reply{Body: &wire.Reply_Sync{Sync: r}}
 	case *wire.Call_Quota:
-		a := h.limiter.Report(from, x.Quota)
+		a := h.limiter.ApplyAsk(from, x.Quota)
 		return &wire.Reply{Body: &wire.Reply_Quota{Quota: h.limiter.Grant(from, a)}}
 	case *wire.Call_Withdraw:
 		given := h.feed.Withdraw(site.Term(x.Withdraw.GetTerm()))
@@ -430,7 +430,7 @@
 	if x.GetQuota() == nil {
 		return h.feed.Sync(c, from, x)
 	}
-	a := h.limiter.Report(from, x.GetQuota())
+	a := h.limiter.ApplyAsk(from, x.GetQuota())
 	r := h.feed.Sync(c, from, x)
 	r.Quota = h.limiter.Grant(from, a)
 	return r
@@ -440,4 +440,4 @@
 func (handler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Cut() }
 
 // Leads reports whether the daemon is the coordinator of its site, as far as it knows.
-func (n *Node) Leads() bool { return n.feed.Leads() }
+func (n *Node) Leads() bool { return n.feed.IsCoordinator() }
--- a/io/send/final.go
+++ b/io/send/final.go
@@ -132,7 +132,7 @@
 	if r.service != nil {
 		service = string(r.service.Name)
 	}
-	s.o.Counter.Answered(ident.Service(service), route, string(f.outcome), f.reason, took)
+	s.o.Counter.RecordAnswer(ident.Service(service), route, string(f.outcome), f.reason, took)
 	if f.outcome == answered && f.reason == "" {
 		return
 	}
--- a/io/send/guard.go
+++ b/io/send/guard.go
@@ -16,12 +16,12 @@
 
 // Guard tells which requests crash backend servers.
 type Guard interface {
-	Watches() bool                   // some request is suspected
+	HasSuspects() bool               // some request is suspected
 	Crashes(f crash.Fingerprint) int // servers that crashed under the request, one after the other
 	Answered(f crash.Fingerprint)    // a server ran it to an end
 
-	// Broke takes in that a run at the server broke off; the channel is closed once it is known whether the server has crashed.
-	Broke(x *site.Server, r crash.Run) <-chan struct{}
+	// Interrupted takes in that a run at the server broke off; the channel is closed once it is known whether the server has crashed.
+	Interrupted(x *site.Server, r crash.Run) <-chan struct{}
 }
 
 const (
@@ -66,7 +66,7 @@
 
 // crashes returns how many servers crashed under the request, as far as is known.
 func (s *Sender) crashes(r *request) int {
-	if !s.o.Guard.Watches() {
+	if !s.o.Guard.HasSuspects() {
 		return 0
 	}
 	return s.o.Guard.Crashes(r.fingerprint())
@@ -80,8 +80,8 @@
 	switch {
 	case x.Outcome == retry.Unknown && x.End == admit.EndReset:
 		r.broke++
-		r.probed = s.o.Guard.Broke(b.server, crash.Run{Fingerprint: r.fingerprint(), Known: r.crashes})
-	case x.Outcome == retry.Answered && resp.StatusCode() < fasthttp.StatusInternalServerError && s.o.Guard.Watches():
+		r.probed = s.o.Guard.Interrupted(b.server, crash.Run{Fingerprint: r.fingerprint(), Known: r.crashes})
+	case x.Outcome == retry.Answered && resp.StatusCode() < fasthttp.StatusInternalServerError && s.o.Guard.HasSuspects():
 		s.o.Guard.Answered(r.fingerprint())
 	}
 }
--- a/io/send/send.go
+++ b/io/send/send.go
@@ -63,7 +63,7 @@
 
 // Counter counts final answers.
 type Counter interface {
-	Answered(s ident.Service, kind, outcome, reason string, took time.Duration)
+	RecordAnswer(s ident.Service, kind, outcome, reason string, took time.Duration)
 }
 
 // Options are what a Sender needs.
