--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -121,7 +121,7 @@
 // longestPause returns the longest pause between two failed calls. It is longer for daemons other than the coordinator,
 // which detects first that the store is available again.
 func (f *Feed) longestPause() time.Duration {
-	if f.Leads() {
+	if f.IsCoordinator() {
 		return maxPause
 	}
 	return followerPause
@@ -175,7 +175,7 @@
 	case rows == 0:
 	case t == store.Servers:
 		clock.Sleep(c, changesPause)
-	case t == store.Control && f.Leads():
+	case t == store.Control && f.IsCoordinator():
 		clock.Sleep(c, controlChangesPause)
 	}
 }
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -175,8 +175,8 @@
 	return f.changed
 }
 
-// Leads reports whether this incarnation of the daemon is the coordinator according to its copy.
-func (f *Feed) Leads() bool {
+// IsCoordinator reports whether this incarnation of the daemon is the coordinator according to its copy.
+func (f *Feed) IsCoordinator() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leads()
@@ -213,10 +213,10 @@
 	return copied, coordinator
 }
 
-// Cut returns for how long this daemon may have been isolated from the rest of its site. During that time it had no answer
+// IsolatedFor returns for how long this daemon may have been isolated from the rest of its site. During that time it had no answer
 // from the store, no sign that the coordinator runs, and no contact with a daemon of another failure domain. It is zero in a
 // site of one daemon.
-func (f *Feed) Cut() time.Duration {
+func (f *Feed) IsolatedFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.snapshot.Daemons) < 2 {
@@ -282,9 +282,9 @@
 	return f.support.HasQuorum(f.o.Clock.Boot(), f.o.Self, voters(f.snapshot), f.proposedVoters)
 }
 
-// HasTurn reports whether this daemon is the coordinator of the term and has the quorum that it needs. A term without quorum
+// HoldsTerm reports whether this daemon is the coordinator of the term and has the quorum that it needs. A term without quorum
 // needs one as soon as a row that ends this is proposed, because a successor may already rely on that row.
-func (f *Feed) HasTurn(t site.Term) bool {
+func (f *Feed) HoldsTerm(t site.Term) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.snapshot.Coordinator
@@ -354,8 +354,8 @@
 	return r, ok
 }
 
-// Learn applies rows that this daemon has written itself, without waiting for them to come back from the store.
-func (f *Feed) Learn(rows []store.Row) {
+// ApplyWritten applies rows that this daemon has written itself, without waiting for them to come back from the store.
+func (f *Feed) ApplyWritten(rows []store.Row) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := &f.tables[store.Control]
--- a/io/feed/feed_test.go
+++ b/io/feed/feed_test.go
@@ -400,18 +400,18 @@
 	f.SetAnnounced(1)
 	require.Eventually(t, func() bool { return f.Loaded() && l.Loaded() }, time.Second, 5*time.Millisecond)
 	time.Sleep(2500 * time.Millisecond)
-	require.Less(t, f.Cut(), 2*time.Second, "the store answers")
+	require.Less(t, f.IsolatedFor(), 2*time.Second, "the store answers")
 	require.True(t, l.Supported(), "two of three voters support it")
 	m.setUnresponsive(true)
 	n.setUnresponsive(true)
 	time.Sleep(2500 * time.Millisecond)
-	require.Less(t, f.Cut(), 2*time.Second, "the coordinator has a quorum: only the store is unavailable")
+	require.Less(t, f.IsolatedFor(), 2*time.Second, "the coordinator has a quorum: only the store is unavailable")
 	for _, x := range []*Feed{l, f} {
 		for _, d := range []ident.Daemon{"far2", "far3", "far4"} {
 			v, err := proto.Marshal(&wire.DaemonRow{Domain: "b", Peer: "127.0.0.1:1", Incarnation: 1})
 			require.NoError(t, err)
-			x.Learn([]store.Row{{Key: DaemonRow(d), Value: v, Rev: 1000}})
+			x.ApplyWritten([]store.Row{{Key: DaemonRow(d), Value: v, Rev: 1000}})
 		}
 	}
-	require.Eventually(t, func() bool { return l.Cut() > 2*time.Second && f.Cut() > 2*time.Second }, 5*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return l.IsolatedFor() > 2*time.Second && f.IsolatedFor() > 2*time.Second }, 5*time.Second, 20*time.Millisecond)
 }
--- a/io/grant/elect.go
+++ b/io/grant/elect.go
@@ -66,7 +66,7 @@
 	g.o.Log.Info().Uint64("term", uint64(prev.Term)+1).Bool("clean", t.Clean).Bool("without-quorum", t.WithoutQuorum).Str("before", string(prev.Daemon)).
 		Msg("became the coordinator")
 	g.o.Feed.ConfirmControl(requested)
-	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
+	g.o.Feed.ApplyWritten([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
 	return true
 }
 
@@ -124,7 +124,7 @@
 		g.o.Log.Warn().Err(err).Msg("coordinator role not handed over, another daemon takes over later")
 		return
 	}
-	g.o.Feed.Learn([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
+	g.o.Feed.ApplyWritten([]store.Row{{Key: feed.CoordinatorRow, Value: v, Rev: rev}})
 	g.o.Log.Info().Uint64("term", uint64(term)).Msg("turn handed over")
 }
 
@@ -134,5 +134,5 @@
 // maySendOrder reports whether this daemon may send orders in the term. It is checked right before each order: the process
 // may have been paused, and another daemon may be the coordinator by now.
 func (g *Granter) maySendOrder(term site.Term) bool {
-	return g.o.Feed.HasTurn(term) && g.o.Feed.ControlAge() < authorityTTL
+	return g.o.Feed.HoldsTerm(term) && g.o.Feed.ControlAge() < authorityTTL
 }
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -138,7 +138,7 @@
 // and a term that has ended can't be resumed.
 func (g *Granter) StepDown(c context.Context) {
 	g.leaving.Store(true)
-	for g.o.Feed.Leads() && !g.storeAnswers(c) {
+	for g.o.Feed.IsCoordinator() && !g.storeAnswers(c) {
 		if c.Err() != nil {
 			return
 		}
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -108,8 +108,8 @@
 		Quota:            quotaClient{n},
 	})
 	n.limiter = limit.New(limit.Options{
-		Self: s.Name, Life: n.incarnation, View: n.feed, Clock: n.clock, Log: n.o.Log,
-		Terms: quota.Policy{Window: s.Limits.QuotaWindow, Overshoot: s.Limits.QuotaOvershoot, Slack: s.Limits.QuotaSlack},
+		Self: s.Name, Incarnation: n.incarnation, View: n.feed, Clock: n.clock, Log: n.o.Log,
+		Policy: quota.Policy{Window: s.Limits.QuotaWindow, Overshoot: s.Limits.QuotaOvershoot, Slack: s.Limits.QuotaSlack},
 	})
 	n.granter = grant.New(grant.Options{
 		Self: s.Name, Incarnation: n.incarnation, Feed: n.feed, Store: n.o.Platform.Store, OrderCodec: n.o.Platform.OrderCodec,
@@ -224,7 +224,7 @@
 		}
 		row.Rev = rev
 		n.feed.SetAnnounced(rev)
-		n.feed.Learn([]store.Row{row})
+		n.feed.ApplyWritten([]store.Row{row})
 		n.waitUntilRowDeleted(c)
 	}
 	return nil
@@ -283,7 +283,7 @@
 			return nil
 		case <-t.C:
 			n.sender.Prune()
-			if n.feed.Leads() {
+			if n.feed.IsCoordinator() {
 				n.granter.AddMeasurements(n.sender.TakeMeasurements())
 			}
 		}
@@ -297,7 +297,7 @@
 // isolated reports whether the daemon is isolated from the rest of its site. It would refuse most callers, and the balancer
 // sends them to daemons that can serve them if this one isn't ready. An outage of the store alone doesn't count.
 func (n *Node) isolated() bool {
-	return n.feed.Cut() > isolatedThreshold
+	return n.feed.IsolatedFor() > isolatedThreshold
 }
 
 // Ready reports whether the balancer may send callers to the daemon.
@@ -404,7 +404,7 @@
 
 // Answered implements feed.QuotaClient.
 func (q quotaClient) Answered(requested mono.Time, a *wire.QuotaAsk, r *wire.QuotaAnswer) {
-	q.n.limiter.Answered(requested, a, r)
+	q.n.limiter.ApplyAnswer(requested, a, r)
 }
 
 // peerHandler answers the calls of peers.
@@ -420,7 +420,7 @@
 		r := h.sync(c, from, x.Sync)
 		return &wire.Reply{Body: &wire.Reply_Sync{Sync: r}}
 	case *wire.Call_Quota:
-		a := h.limiter.Report(from, x.Quota)
+		a := h.limiter.ApplyAsk(from, x.Quota)
 		return &wire.Reply{Body: &wire.Reply_Quota{Quota: h.limiter.Grant(from, a)}}
 	case *wire.Call_Withdraw:
 		withdrawn := h.feed.Withdraw(site.Term(x.Withdraw.GetTerm()))
@@ -434,7 +434,7 @@
 	if x.GetQuota() == nil {
 		return h.feed.Sync(c, from, x)
 	}
-	a := h.limiter.Report(from, x.GetQuota())
+	a := h.limiter.ApplyAsk(from, x.GetQuota())
 	r := h.feed.Sync(c, from, x)
 	r.Quota = h.limiter.Grant(from, a)
 	return r
@@ -444,4 +444,4 @@
 func (peerHandler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Cut() }
 
 // IsCoordinator reports whether the daemon is the coordinator of its site, as far as it knows.
-func (n *Node) IsCoordinator() bool { return n.feed.Leads() }
+func (n *Node) IsCoordinator() bool { return n.feed.IsCoordinator() }
--- a/io/send/final.go
+++ b/io/send/final.go
@@ -132,7 +132,7 @@
 	if r.service != nil {
 		service = string(r.service.Name)
 	}
-	s.o.Counter.Answered(ident.Service(service), route, string(f.outcome), f.reason, took)
+	s.o.Counter.RecordAnswer(ident.Service(service), route, string(f.outcome), f.reason, took)
 	if f.outcome == outcomeAnswered && f.reason == "" {
 		return
 	}
--- a/io/send/guard.go
+++ b/io/send/guard.go
@@ -16,12 +16,12 @@
 
 // Guard detects requests that crash backend servers.
 type Guard interface {
-	Watches() bool                   // whether any request is suspected
+	HasSuspects() bool               // whether any request is suspected
 	Crashes(f crash.Fingerprint) int // number of servers that crashed in succession while running the request
 	Answered(f crash.Fingerprint)    // records that a server completed the request
 
-	// Broke records that a run at the server was interrupted. The channel is closed once it is known whether the server crashed.
-	Broke(x *site.Server, r crash.Run) <-chan struct{}
+	// Interrupted records that a run at the server was interrupted. The channel is closed once it is known whether the server crashed.
+	Interrupted(x *site.Server, r crash.Run) <-chan struct{}
 }
 
 const (
@@ -66,7 +66,7 @@
 
 // crashes returns how many servers are known to have crashed while running the request.
 func (s *Sender) crashes(r *request) int {
-	if !s.o.Guard.Watches() {
+	if !s.o.Guard.HasSuspects() {
 		return 0
 	}
 	return s.o.Guard.Crashes(r.fingerprint())
@@ -80,8 +80,8 @@
 	switch {
 	case x.Outcome == retry.Unknown && x.End == admit.EndReset:
 		r.interrupted++
-		r.crashKnown = s.o.Guard.Broke(b.server, crash.Run{Fingerprint: r.fingerprint(), KnownCrashes: r.knownCrashes})
-	case x.Outcome == retry.Answered && resp.StatusCode() < fasthttp.StatusInternalServerError && s.o.Guard.Watches():
+		r.crashKnown = s.o.Guard.Interrupted(b.server, crash.Run{Fingerprint: r.fingerprint(), KnownCrashes: r.knownCrashes})
+	case x.Outcome == retry.Answered && resp.StatusCode() < fasthttp.StatusInternalServerError && s.o.Guard.HasSuspects():
 		s.o.Guard.Answered(r.fingerprint())
 	}
 }
--- a/io/send/send.go
+++ b/io/send/send.go
@@ -63,7 +63,7 @@
 
 // Counter counts final responses.
 type Counter interface {
-	Answered(s ident.Service, route, outcome, reason string, took time.Duration)
+	RecordAnswer(s ident.Service, route, outcome, reason string, took time.Duration)
 }
 
 // Options configure a Sender.
