--- a/core/place/balance.go
+++ b/core/place/balance.go
@@ -8,16 +8,16 @@
 	"heatherrouter/core/ident"
 )
 
-// balance moves shards from loaded to less loaded servers while the difference is worth it and the churn
-// budget lasts.
+// balance moves shards from more to less loaded servers until the loads are within the stop thresholds or
+// the churn budget is used up.
 func (p *planner) balance(t map[ident.Server]*target) {
-	l := carriers(t)
+	l := eligible(t)
 	if len(l) < 2 || len(p.draft.shards) > len(p.in.Part.Shards) || p.now.Before(p.memory.balanceAt) {
 		return
 	}
 	level := p.level(l)
 	if !p.memory.balancing && !p.unbalanced(l, level) {
-		p.memory.balanceAt = p.now.Add(lookWait)
+		p.memory.balanceAt = p.now.Add(balanceCheckWait)
 		return
 	}
 	p.memory.balancing = true
@@ -48,8 +48,8 @@
 	}
 }
 
-// carriers returns the servers that may carry load, by name.
-func carriers(t map[ident.Server]*target) []*target {
+// eligible returns the servers that may get shards, sorted by ID.
+func eligible(t map[ident.Server]*target) []*target {
 	var l []*target
 	for _, x := range t {
 		if x.weight > 0 {
@@ -60,9 +60,9 @@
 	return l
 }
 
-// level returns the load for each unit of weight that every server would have if shards could be cut at
-// will. A shard above that stays alone on its server: both are left out, since neither splitting it nor
-// giving it away would help, and the others share the rest.
+// level returns the load per unit of weight that every server would have if shards were divisible. A shard
+// with more than its server's share stays alone there, as it can't be split and moving it would not help.
+// Both are left out, and the other servers share the remaining load.
 func (p *planner) level(l []*target) float64 {
 	for {
 		load, weight := 0.0, 0.0
@@ -98,7 +98,7 @@
 	})
 }
 
-// excess returns how much load a server has above its share; a pinned one should have its one shard only.
+// excess returns the load of a server above its share. A pinned server should own only its busiest shard.
 func (p *planner) excess(x *target, level float64) float64 {
 	if x.pinned {
 		return x.load - p.rate(x.busiest(p))
@@ -106,8 +106,8 @@
 	return x.load - level*x.weight
 }
 
-// unbalanced reports whether a difference is worth a round of moves: larger than the hysteresis, and
-// larger than chance makes it at the rates that were measured.
+// unbalanced reports whether a server's load differs from its share by more than the hysteresis and by more
+// than the statistical noise of the measured rates.
 func (p *planner) unbalanced(l []*target, level float64) bool {
 	base := baseRate * float64(len(p.draft.shards)) / float64(len(l))
 	for _, x := range l {
@@ -121,8 +121,8 @@
 	return false
 }
 
-// extremes returns the server with the most above its share, leaving out those that have no shard to give,
-// and the one with the most below.
+// extremes returns the server farthest above its share, without the stuck ones, which have no shard that may
+// move, and the server farthest below its share.
 func (p *planner) extremes(l []*target, level float64, budget bool, stuck map[ident.Server]bool) (from, to *target) {
 	for _, x := range l {
 		e := p.excess(x, level) / x.weight
@@ -136,7 +136,7 @@
 	return from, to
 }
 
-// worthMove reports whether moving a shard between two servers is worth it, once a round has started.
+// worthMove reports whether the loads of two servers still exceed the stop thresholds of a running round.
 func (p *planner) worthMove(from, to *target, level float64) bool {
 	if from == nil || to == nil || from == to {
 		return false
@@ -145,7 +145,7 @@
 	return over > highStop*level*from.weight || (over > 0 && under > lowStop*level*to.weight)
 }
 
-// bestShard returns the shard of a server that comes closest to what both have to move.
+// bestShard returns the shard whose rate is closest to the load that should move between two servers.
 func (p *planner) bestShard(from, to *target, level float64) (best ident.Shard, found bool) {
 	over, under := p.excess(from, level), -p.excess(to, level)
 	want := min(over, under)
@@ -161,13 +161,13 @@
 	return best, found
 }
 
-// mayBalance reports whether a shard is free to move for balance. One that moved lately is held, or two
-// servers of like load would pass it back and forth as their rates vary.
+// mayBalance reports whether a shard may move for balance. A shard that moved recently stays where it is;
+// otherwise it would move back and forth between servers of similar load as their rates vary.
 func (p *planner) mayBalance(s ident.Shard, to *target) bool {
-	return !p.now.Before(p.memory.shards[s].held) && p.draft.shards[s] == p.in.Part.Owner(s) && mayMove(p.draft.shards[s], to.id)
+	return !p.now.Before(p.memory.shards[s].heldUntil) && p.draft.shards[s] == p.in.Part.Owner(s) && mayMove(p.draft.shards[s], to.id)
 }
 
-// refills reports whether a server is being filled after a return; that is paced by its ramp, not the budget.
+// refills reports whether a server is ramping up. Its ramp limits moves to it, so they use no churn budget.
 func (p *planner) refills(x *target) bool {
 	return p.memory.servers[x.id].ramps(p.now)
 }
--- a/core/place/daemons.go
+++ b/core/place/daemons.go
@@ -6,19 +6,19 @@
 	"heatherrouter/core/mono"
 )
 
-// mayServe reports whether a daemon may be given homes and witness seats.
+// mayServe reports whether a daemon may become a home, standby or witness.
 func (p *planner) mayServe(d *live.Daemon) bool {
 	return d != nil && d.Alive(p.now) && d.Region == p.in.Service.Region && !p.leaving(d.Daemon)
 }
 
-// leaving reports whether a daemon, alive or not, is about to go.
+// leaving reports whether a daemon, alive or not, is shutting down or drained.
 func (p *planner) leaving(id ident.Daemon) bool {
 	d := p.daemons[id]
 	return d != nil && (d.IsLeaving() || p.in.Drains.Daemons[id] || p.in.Drains.Domains[d.Domain])
 }
 
-// silentAt returns when a daemon's silence becomes a reason to act, if it is silent.
-func (p *planner) silentAt(id ident.Daemon) mono.Time {
+// unresponsiveAt returns when a daemon counts as unresponsive if there is no further contact.
+func (p *planner) unresponsiveAt(id ident.Daemon) mono.Time {
 	d := p.daemons[id]
 	switch {
 	case d == nil:
@@ -29,26 +29,27 @@
 	return d.SuspectAt()
 }
 
-// silent reports whether a daemon has been silent for long enough to act.
-func (p *planner) silent(id ident.Daemon) bool {
-	return !p.now.Before(p.silentAt(id))
+// unresponsive reports whether a daemon has been without contact for long enough to be replaced.
+func (p *planner) unresponsive(id ident.Daemon) bool {
+	return !p.now.Before(p.unresponsiveAt(id))
 }
 
-// lastWord returns when a daemon spoke last, as far as this one can know.
-func (p *planner) lastWord(id ident.Daemon) mono.Time {
+// lastContact returns the time of the last contact with a daemon. For an unknown one it is the first plan.
+func (p *planner) lastContact(id ident.Daemon) mono.Time {
 	if d := p.daemons[id]; d != nil {
 		return d.LastContact
 	}
 	return p.memory.startedAt
 }
 
-// mostSilent reports whether most of the daemons that spoke lately are silent. Those that are gone for
-// longer don't count, or every site whose hosts were replaced one by one would look like a cut.
+// mostUnresponsive reports whether most of the recently active daemons are unresponsive. Daemons that
+// have been gone for longer don't count; otherwise replacing hosts one by one would look like a partition.
 //
-// Then it is likelier that this daemon is cut off, or was paused, than that the others are gone. Acting at
-// once would move every home away from daemons that work. The table would take it: moves are safe, but the
-// keys of each would be unserved for a lease time. After isolatedWait it acts all the same.
-func (p *planner) mostSilent() bool {
+// In that case this daemon is more likely isolated or was paused than all others failed. Replacing them
+// at once would move every home away from working daemons. The table would accept these moves, as they are
+// safe, but the keys of each server would be unserved for a lease time. After isolatedWait the planner
+// replaces them all the same.
+func (p *planner) mostUnresponsive() bool {
 	alive, silent := 0, 0
 	for id, d := range p.daemons {
 		switch {
@@ -61,27 +62,27 @@
 	return silent > alive
 }
 
-// lostServers returns the servers of domains of which more than one daemon is known and none is heard,
-// unless their home, which is then elsewhere, has seen them work since.
+// lostServers returns the servers of domains with more than one known daemon, all of them unresponsive. It
+// leaves out servers on which a home in another domain has reported since.
 //
-// A lost server's home would first have to lapse, the next home to try the server in vain, and only then
-// would the shards move. Moving them right away saves that second wait; when only the daemons of the domain
-// were lost, it costs the churn of one domain.
+// Otherwise the home's lease would have to expire and the next home would have to fail to reach the
+// server before its shards moved. Moving them at once saves that second wait. If only the daemons of the
+// domain failed, it costs the churn of one domain.
 func (p *planner) lostServers() map[ident.Server]bool {
 	count := map[ident.Domain]int{}
 	last := map[ident.Domain]mono.Time{}
-	heard := map[ident.Domain]bool{}
+	responsive := map[ident.Domain]bool{}
 	for id, d := range p.daemons {
 		if d.Listed == live.ListedGone || p.leaving(id) {
 			continue
 		}
 		count[d.Domain]++
 		last[d.Domain] = max(last[d.Domain], d.SuspectAt())
-		heard[d.Domain] = heard[d.Domain] || !p.silent(id)
+		responsive[d.Domain] = responsive[d.Domain] || !p.unresponsive(id)
 	}
 	lost := map[ident.Server]bool{}
 	for id, c := range p.servers {
-		if count[c.Domain] > 1 && !heard[c.Domain] && p.in.Reports[id].Received.Before(last[c.Domain]) {
+		if count[c.Domain] > 1 && !responsive[c.Domain] && p.in.Reports[id].Received.Before(last[c.Domain]) {
 			lost[id] = true
 		}
 	}
--- a/core/place/draft.go
+++ b/core/place/draft.go
@@ -10,18 +10,18 @@
 	"heatherrouter/core/part"
 )
 
-// draft is the part as the plan would leave it. It refuses edits that don't fit one transaction; they are
-// made by a later plan.
+// draft is the part with the changes of the plan. It refuses edits that don't fit into one transaction; a
+// later plan makes them.
 type draft struct {
 	old       *part.Part
 	witnesses part.Witnesses
 	servers   map[ident.Server]part.Server
 	shards    []part.Ownership // those of the old part until copied is set
 	copied    bool
-	reasons   map[ident.Row]*reasons // of every row that was touched
+	reasons   map[ident.Row]*reasons // of every touched row
 }
 
-// reasons counts why one row changes.
+// reasons counts the reasons for the change of one row.
 type reasons struct {
 	order []string
 	count map[string]int
@@ -34,7 +34,7 @@
 	}
 }
 
-// fits reports whether a row is touched already or may be.
+// fits reports whether a row is already touched or fits into the transaction.
 func (d *draft) fits(r ident.Row) bool {
 	return d.reasons[r] != nil || len(d.reasons) < part.MaxRows
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// moveShard gives a shard to another server and reports whether the rules let it go there now.
+// moveShard assigns a shard to another server and reports whether the rules and the transaction allow it.
 func (d *draft) moveShard(s ident.Shard, to ident.Server, reason string) bool {
 	o := d.shards[s]
 	if !mayMove(o, to) || d.shards[s] != d.old.Owner(s) || !d.touch(part.ShardsRow(int(s)/part.ChunkSize), reason) {
@@ -93,12 +93,12 @@
 	return true
 }
 
-// mayMove reports whether the rules of the part let a shard go to a server: an unreleased one only back.
+// mayMove reports whether the rules of the part allow a move. An unreleased shard may only move back.
 func mayMove(o part.Ownership, to ident.Server) bool {
 	return to != o.Server && (o.Previous == "" || o.Previous == to)
 }
 
-// clearPrevious writes down that a shard was released, unless the same plan moves it back.
+// clearPrevious records that a shard was released, unless the same plan moves it back.
 func (d *draft) clearPrevious(s ident.Shard, reason string) {
 	if d.shards[s] == d.old.Owner(s) && d.touch(part.ShardsRow(int(s)/part.ChunkSize), reason) {
 		d.copyShards()
@@ -120,7 +120,7 @@
 	return len(d.reasons) == 0
 }
 
-// decision returns the touched rows that really differ, in an order that depends on nothing else.
+// decision returns the touched rows that differ from the old part, sorted by row.
 func (d *draft) decision() Decision {
 	var x Decision
 	for _, r := range slices.Sorted(maps.Keys(d.reasons)) {
@@ -171,7 +171,7 @@
 	return part.SetShards{Chunk: n, Owners: slices.Clone(owners)}
 }
 
-// String lists the reasons, with how often each one applied.
+// String lists the reasons, each with its count if it applied more than once.
 func (r *reasons) String() string {
 	l := make([]string, len(r.order))
 	for i, s := range r.order {
--- a/core/place/homes.go
+++ b/core/place/homes.go
@@ -10,12 +10,12 @@
 	"heatherrouter/core/part"
 )
 
-// planHomes gives every server a home and a standby that are alive.
+// planHomes assigns a live home and a live standby to every server.
 //
-// The home is in the server's own domain if it can, to save the way between domains. The standby is in
-// another domain than the home: a whole domain of daemons may go at once, and a server that outlives its
-// home must then be served by a daemon that needs neither table nor coordinator for it. The price is a
-// home out of the domain until rebalanceHomes moves it back.
+// The home is in the server's own domain if possible, which avoids cross-domain traffic. The standby is in
+// another domain than the home, as all daemons of a domain may fail at once. A server that survives must
+// then be served by a daemon that needs neither table nor coordinator to take over. The cost is a home
+// in another domain until rebalanceHomes moves it back.
 func (p *planner) planHomes() {
 	ids := slices.Sorted(maps.Keys(p.servers))
 	for _, id := range p.in.Part.ServerIDs() {
@@ -49,15 +49,16 @@
 	switch {
 	case held && holder.Epoch == row.Epoch+1 && holder.Daemon == row.Standby:
 		p.rehome(row, row.Standby, "standby took over")
-	case p.silent(row.Home):
-		p.replaceSilent(row)
+	case p.unresponsive(row.Home):
+		p.replaceHome(row)
 	case p.leaving(row.Home):
 		if d := p.chooseHome(row.ID, row.Home); d != "" {
 			p.rehome(row, d, "home leaves")
 		}
-	case held && holder.Epoch < row.Epoch && holder.Daemon != row.Home && !row.Supersede && p.silent(holder.Daemon):
-		// The last home was to hand over but has fallen silent. If it is only cut off from us, it goes on
-		// renewing and the new home waits for ever; told to supersede, the witnesses stop renewing it.
+	case held && holder.Epoch < row.Epoch && holder.Daemon != row.Home && !row.Supersede && p.unresponsive(holder.Daemon):
+		// The last home stopped responding before its handover. If it is only isolated from the coordinator, it
+		// goes on renewing its lease and the new home never gets one. With Supersede set, the witnesses refuse
+		// the last home's renewals.
 		row.Supersede = true
 		p.draft.setServer(row, "last home is silent")
 	case !held && p.unheld(row.ID):
@@ -67,19 +68,19 @@
 	}
 }
 
-// unheld reports whether nobody has held a server's lease for long, though its home is alive.
+// unheld reports whether a server's lease has had no holder for long although its home is alive.
 //
-// A standby that took its home for silent may have asked for the next epoch at some witnesses and stopped when it
-// heard the home again. Those witnesses refuse the home's epoch for good, and neither goes on asking: the server's
-// keys would stay without service. A higher epoch for the home ends that. That no lease at all is seen says
-// more about the witness that tells of them than about the homes.
+// A standby that suspected its home may have requested the next epoch from some witnesses and stopped when
+// the home responded again. Those witnesses refuse the home's epoch permanently and the standby no longer
+// asks, so the server's keys would stay unserved. A higher epoch for the home resolves this. If no leases
+// are reported at all, the fault is more likely with the reporting witness than with the homes.
 func (p *planner) unheld(id ident.Server) bool {
 	m := p.memory.servers[id]
 	return m != nil && !p.now.Before(m.unheldAt) && (len(p.in.Holders) > 0 || len(p.in.Part.Servers) == 1)
 }
 
-// homeForUnheld keeps the home for a first new epoch. When that didn't help, the home is likely cut off from the
-// witnesses, though we hear it, and the standby may reach them.
+// homeForUnheld keeps the home for the first new epoch. If that didn't help, the home is probably isolated
+// from the witnesses, though not from the coordinator, and the standby may reach them.
 func (p *planner) homeForUnheld(row part.Server) ident.Daemon {
 	if p.memory.servers[row.ID].unheldCount > 1 && p.mayServe(p.daemons[row.Standby]) {
 		return row.Standby
@@ -87,9 +88,9 @@
 	return row.Home
 }
 
-// replaceSilent makes the standby the home, under the epoch that it may already have taken by itself, so
-// that the row and the standby's own takeover can't work against each other.
-func (p *planner) replaceSilent(row part.Server) {
+// replaceHome makes the standby the home, under the epoch that it may already have acquired by itself, so
+// that the row and the standby's own takeover can't conflict.
+func (p *planner) replaceHome(row part.Server) {
 	home := row.Standby
 	if !p.mayServe(p.daemons[home]) {
 		home = p.chooseHome(row.ID, row.Home)
@@ -99,8 +100,8 @@
 	}
 }
 
-// planStandby replaces a standby that could not take over. As the standby of an epoch never changes, the
-// home goes to a higher epoch, which it must be given while it still holds the present one.
+// planStandby replaces a standby that could not take over. The standby of an epoch never changes, so the
+// home gets a higher epoch, and must get it while it still holds the present one.
 func (p *planner) planStandby(row part.Server, unsettled bool) {
 	switch {
 	case row.Standby == "":
@@ -109,14 +110,14 @@
 			p.count(part.Server{}, part.Server{Standby: row.Standby})
 		}
 	case unsettled:
-	case p.leaving(row.Standby), p.silent(row.Standby) && !p.now.Before(p.lastWord(row.Standby).Add(standbyWait)):
+	case p.leaving(row.Standby), p.unresponsive(row.Standby) && !p.now.Before(p.lastContact(row.Standby).Add(standbyWait)):
 		if p.chooseStandby(row.ID, row.Home) != "" {
 			p.rehome(row, row.Home, "standby replaced")
 		}
 	}
 }
 
-// rehome writes a home under the next epoch that is free for it, and a standby for that epoch.
+// rehome sets a home under the next epoch that is free for it, and a standby for that epoch.
 func (p *planner) rehome(row part.Server, home ident.Daemon, reason string) {
 	n := row
 	n.Home = home
@@ -125,7 +126,7 @@
 		n.Epoch = row.Epoch + 1
 	}
 	n.Standby = p.chooseStandby(row.ID, home)
-	n.Supersede = home != row.Home && p.silent(row.Home)
+	n.Supersede = home != row.Home && p.unresponsive(row.Home)
 	if p.draft.setServer(n, reason) {
 		p.count(row, n)
 	}
@@ -138,10 +139,10 @@
 	p.standbys[row.Standby]++
 }
 
-// chooseHome returns the best daemon other than one for a server, or nothing when there is none.
+// chooseHome returns the best home for a server other than the given daemon, or "" if there is none.
 func (p *planner) chooseHome(id ident.Server, not ident.Daemon) ident.Daemon {
 	return p.best(id, p.homes, not, func(d *live.Daemon) bool {
-		return d.Domain == p.domainOf(id) && p.homes[d.Daemon] < p.mostHome
+		return d.Domain == p.domainOf(id) && p.homes[d.Daemon] < p.maxHomes
 	})
 }
 
@@ -152,7 +153,7 @@
 	})
 }
 
-// best returns the usable daemon that is preferred, has the least to do, and has the highest score.
+// best returns the best usable daemon, compared by preference, then lowest load, then highest score.
 func (p *planner) best(id ident.Server, load map[ident.Daemon]int, not ident.Daemon, prefer func(*live.Daemon) bool) ident.Daemon {
 	rank := func(d *live.Daemon) int {
 		if prefer(d) {
@@ -186,8 +187,8 @@
 	return ""
 }
 
-// rebalanceHomes moves one home back to its server's domain, or from a daemon with many to one with few.
-// Each is a planned move; there is no hurry, so they come one at a time and only in quiet times.
+// rebalanceHomes moves one home back to its server's domain, or from a daemon with many homes to one with few.
+// These moves are not urgent, so they are made one at a time and only if nothing else changes.
 func (p *planner) rebalanceHomes() {
 	if p.now.Before(p.memory.spreadAt) {
 		return
@@ -213,7 +214,7 @@
 	domain := p.domainOf(id)
 	wasLocal, isLocal := f.Domain == domain, t.Domain == domain
 	if wasLocal != isLocal {
-		return isLocal && p.homes[to] < p.mostHome
+		return isLocal && p.homes[to] < p.maxHomes
 	}
 	return p.homes[from] >= p.homes[to]+2
 }
--- a/core/place/memory.go
+++ b/core/place/memory.go
@@ -9,31 +9,31 @@
 	"heatherrouter/core/part"
 )
 
-// Memory is what the planner keeps from plan to plan: rates, hysteresis and budgets.
+// Memory is the state that the planner keeps between plans: rates, hysteresis and budgets.
 //
 // Losing it costs time and some churn, never safety, so a new coordinator starts with an empty one. It
-// learns of moves from the parts that it is shown, not from its own proposals: a proposal may have failed,
-// and another coordinator's may have been committed.
+// derives moves from the committed parts, not from its own proposals: a proposal may have failed, and
+// another coordinator's may have been committed.
 type Memory struct {
-	begun       bool
+	started     bool
 	firstAt     mono.Time // when the first assignment may be made
-	startedAt   mono.Time // silence of daemons that were never heard is counted from here
+	startedAt   mono.Time // first plan; last contact of daemons that are unknown
 	last        *part.Part
 	servers     map[ident.Server]*serverMemory
 	shards      []shardMemory
-	owned       map[ident.Server][]ident.Shard // by the last part
+	owned       map[ident.Server][]ident.Shard // shards by owner in the last part
 	churn       bucket
 	balanceAt   mono.Time // when the next round of balancing may start
 	balancing   bool      // a round has started and not yet reached its goal
-	lastRound   ident.Rev // the round is over once the part is past this revision; 0 when it isn't
-	spreadAt    mono.Time // when the next home may move only to spread them better
-	settleAt    mono.Time // when released shards no longer wait for the rest
+	lastRound   ident.Rev // the round ends once the part is past this revision; 0 while it goes on
+	spreadAt    mono.Time // when the next home may move for a better distribution
+	settleAt    mono.Time // when released shards are settled without the others
 	hasReleased bool
 }
 
 type shardMemory struct {
-	rate float64   // requests/s
-	held mono.Time // not moved for balance before
+	rate      float64   // requests/s
+	heldUntil mono.Time // not moved for balance before this
 }
 
 // NewMemory returns an empty memory.
@@ -42,8 +42,8 @@
 }
 
 func (m *Memory) observe(now mono.Time, in *Input) {
-	if !m.begun {
-		m.begun = true
+	if !m.started {
+		m.started = true
 		m.startedAt = now
 		m.firstAt = now.Add(firstWait)
 		m.spreadAt = now.Add(homeWait)
@@ -66,7 +66,7 @@
 		s := m.servers[id]
 		if s == nil {
 			s = newServerMemory()
-			// A server that joins a running service starts cold; at the first sight of a part all of it is old.
+			// A server that joins a running service starts cold; all servers of the first part seen count as warm.
 			if m.last != nil && len(m.last.Servers) > 0 {
 				s.startRamp(now)
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-// observeMoves compares the part with the last one that was seen.
+// observeMoves records the moves since the last observed part.
 func (m *Memory) observeMoves(now mono.Time, p *part.Part) {
 	if n := len(p.Shards) - len(m.shards); n > 0 {
 		m.shards = append(m.shards, make([]shardMemory, n)...)
@@ -98,10 +98,10 @@
 		if old.Server == "" || old.Server == o.Server {
 			continue
 		}
-		m.shards[i].held = now.Add(holdWait)
+		m.shards[i].heldUntil = now.Add(holdWait)
 		from, to := m.servers[old.Server], m.servers[o.Server]
 		m.ignoreReports(now, from, to)
-		if from != nil && to != nil && from.carries() && !to.ramps(now) {
+		if from != nil && to != nil && from.mayOwnShards() && !to.ramps(now) {
 			m.churn.spend()
 		}
 		m.balanceAt = now.Add(balanceWait)
@@ -117,9 +117,9 @@
 	}
 }
 
-// ignoreReports leaves out reports that count requests of shards that have moved, or of a time when the server was
-// slow or down. Taken in, they would charge the old owner's remaining shards with what has left, or take
-// the shards of a straggler for idle ones, and the next round would move the wrong shards.
+// ignoreReports excludes reports that cover moved shards or a time when the server was slow or down.
+// They would attribute the moved shards' load to the old owner's remaining shards, or make a straggler's
+// shards look idle, and the next round would move the wrong shards.
 func (m *Memory) ignoreReports(now mono.Time, l ...*serverMemory) {
 	for _, s := range l {
 		if s != nil {
@@ -128,16 +128,16 @@
 	}
 }
 
-// ignoreNewHome leaves out what a new home reports of a server before it has measured for a while. Taken in, a rate that has
-// just begun to rise from nothing would make the server look idle, and shards would move to it by every change of homes.
+// ignoreNewHome excludes a new home's reports until it has measured for newHomeWait. Its rate starts at zero,
+// so the server would look idle and shards would move to it after every change of homes.
 func (m *Memory) ignoreNewHome(now mono.Time, s *serverMemory) {
 	if s != nil {
 		s.ignoreUntil = now.Add(newHomeWait)
 	}
 }
 
-// observeRates spreads what each home measured over the shards of its server: the busiest by their own
-// rate, the others evenly.
+// observeRates distributes the rate that each home reports over the shards of its server: the busiest get
+// their own rates, the others equal shares of the rest.
 func (m *Memory) observeRates(now mono.Time, in *Input) {
 	if m.last != in.Part {
 		m.owned = map[ident.Server][]ident.Shard{}
@@ -147,17 +147,17 @@
 	}
 	for id, r := range in.Reports {
 		s := m.servers[id]
-		if s == nil || r.Received <= s.rated {
+		if s == nil || r.Received <= s.ratedAt {
 			continue
 		}
 		if r.Down || r.Slow {
 			m.ignoreReports(now, s)
 		}
-		if now.Before(s.ignoreUntil) || !s.carries() {
+		if now.Before(s.ignoreUntil) || !s.mayOwnShards() {
 			continue
 		}
 		weight := 1 - math.Exp(-float64(s.sinceRated(r.Received))/float64(rateWindow))
-		s.rated = r.Received
+		s.ratedAt = r.Received
 		m.spreadRate(m.owned[id], r, weight)
 	}
 }
@@ -186,15 +186,15 @@
 	}
 }
 
-// endRound ends a round of balancing whose goal is reached: when its last moves are committed, or at once
-// when there are none. Ended at once with moves still to commit, it would not propose them a second time
-// if their transaction failed.
+// endRound ends a round of balancing that has reached its goal: once its last moves are committed, or at once
+// if there are none. A round that ended before the commit would not propose its moves again if the
+// transaction failed.
 func (m *Memory) endRound(now mono.Time, p *part.Part, moved bool) {
 	if moved {
 		m.lastRound = p.Rev
 		return
 	}
-	m.balanceAt = now.Add(lookWait)
+	m.balanceAt = now.Add(balanceCheckWait)
 	m.balancing, m.lastRound = false, 0
 }
 
@@ -210,7 +210,7 @@
 	m.hasReleased = has
 }
 
-// bucket limits the shards moved for balance alone.
+// bucket is a token bucket that limits the shards moved for balance alone.
 type bucket struct {
 	tokens float64
 	at     mono.Time
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,9 +1,9 @@
 // Package place is the coordinator's planner: it decides which daemons are witnesses and homes, and which
 // backend server owns which shard.
 //
-// Plan proposes one transaction at a time. Nothing it gets wrong can give a key two owners: the rules of
-// core/part refuse an unsafe change, the table commits one of two competing ones, and leases decide who
-// sends. What is at stake here is unavailable time, balance and churn.
+// Plan proposes one transaction at a time. A wrong plan can't give a key two owners: the rules of core/part
+// refuse unsafe changes, the table commits only one of two competing ones, and leases decide which daemon
+// sends. Plans affect only availability, balance and churn.
 package place
 
 import (
@@ -16,7 +16,7 @@
 	"heatherrouter/core/part"
 )
 
-// Input is all that one plan rests on.
+// Input is the complete input of one plan.
 //
 // Released holds answers to the Release calls that the caller sends to the homes named by
 // part.Part.Unreleased. Without them a moved shard can go back to its last owner but no further.
@@ -26,20 +26,20 @@
 	Part      *part.Part // nil before the first assignment
 	Daemons   []live.Daemon
 	Reports   map[ident.Server]Report
-	Holders   map[ident.Server]Holder     // who holds each server's lease now, where the witnesses told
+	Holders   map[ident.Server]Holder     // current holder of each server's lease, as reported by the witnesses
 	Released  map[ident.Shard]ident.Epoch // epoch of each ownership that its last owner's home has released
 	MaySettle bool                        // the change of witnesses under way may be settled, by the rule of core/lease
 	Memory    *Memory                     // kept by the caller from plan to plan, one for each service
 }
 
-// Drains are what operators have taken out.
+// Drains are the domains, servers and daemons that operators have drained.
 type Drains struct {
 	Domains map[ident.Domain]bool
 	Servers map[ident.Server]bool
 	Daemons map[ident.Daemon]bool
 }
 
-// Report is what a home itself sees of its backend server.
+// Report is what a home measures of its backend server.
 type Report struct {
 	Received  mono.Time
 	Down      bool
@@ -70,8 +70,8 @@
 	Reasons []string // one for each change, for the log
 }
 
-// Plan returns the next transaction, judged by what is known at the time now. It changes nothing but
-// in.Memory, and proposes the same again until in.Part shows that it was committed.
+// Plan returns the next transaction for the time now. It changes only in.Memory, and proposes the same
+// changes again until in.Part shows that they were committed.
 func Plan(now mono.Time, in Input) Decision {
 	if in.Part == nil {
 		in.Part = part.New(in.Service.Name)
@@ -102,11 +102,11 @@
 	draft    *draft
 	daemons  map[ident.Daemon]*live.Daemon
 	servers  map[ident.Server]*config.Server
-	homes    map[ident.Daemon]int // of this service, by daemon
+	homes    map[ident.Daemon]int // number of homes of this service, by daemon
 	standbys map[ident.Daemon]int
-	isolated bool // most daemons seem silent at once
+	isolated bool // most daemons are unresponsive at once
 	usable   []*live.Daemon
-	mostHome int // how many homes one daemon may have for the sake of locality
+	maxHomes int // homes that one daemon may have for locality
 }
 
 func newPlanner(now mono.Time, in Input) *planner {
@@ -125,21 +125,21 @@
 		p.homes[s.Home]++
 		p.standbys[s.Standby]++
 	}
-	p.isolated = p.mostSilent()
+	p.isolated = p.mostUnresponsive()
 	for i := range in.Daemons {
 		if d := &in.Daemons[i]; p.mayServe(d) {
 			p.usable = append(p.usable, d)
 		}
 	}
 	n := max(len(p.usable), 1)
-	p.mostHome = homeCap * max((len(p.servers)+n-1)/n, 1)
+	p.maxHomes = homeCap * max((len(p.servers)+n-1)/n, 1)
 	return p
 }
 
-// waitsForDaemons puts off the first assignment until the daemons have had time to hear of each other.
+// waitsForDaemons delays the first assignment until the daemons have had time to discover each other.
 //
-// All daemons of a new site start within seconds. The first one to plan knows only itself: it would make
-// itself the only witness and the home of every server, and all of that would move seconds later.
+// All daemons of a new site start within seconds. The first one to plan knows only itself, so it would become
+// the only witness and the home of every server, and all of these would move seconds later.
 func (p *planner) waitsForDaemons() bool {
 	first := len(p.in.Part.Witnesses.Current) == 0
 	return first && p.now.Before(p.memory.firstAt)
--- a/core/place/server.go
+++ b/core/place/server.go
@@ -10,27 +10,27 @@
 	"heatherrouter/core/part"
 )
 
-// serverMemory is what the planner remembers of one backend server. Its times are deadlines; mono.Never
-// stands for one that is not set.
+// serverMemory is the planner's state of one backend server. Its times are deadlines; mono.Never means
+// not set.
 type serverMemory struct {
 	down       bool      // confirmed
 	slow       bool      // confirmed
 	downFlipAt mono.Time // when down flips unless reports say otherwise
 	slowFlipAt mono.Time // when slow flips unless reports say otherwise
 
-	state     part.State // of the row, as last seen
-	known     bool       // the row has been seen
-	removeAt  mono.Time  // with state draining: when the row may be removed
-	rampFrom  mono.Time  // when shards start to come back
-	ramped    bool       // the ramp has been started at least once
-	failures  int
-	forgiveAt mono.Time // when failures are forgotten
+	state            part.State // of the row, as last seen
+	known            bool       // the row has been seen
+	removeAt         mono.Time  // with state draining: when the row may be removed
+	rampFrom         mono.Time  // when shards start to come back
+	ramped           bool       // the ramp has been started at least once
+	failures         int
+	failuresExpireAt mono.Time // when failures are forgotten
 
 	epoch       ident.Epoch // of the row, as last seen
-	unheldAt    mono.Time   // when the lease counts as held by nobody
-	unheldCount int         // times in a row that it was, and a new epoch did not help
+	unheldAt    mono.Time   // when the lease counts as without holder
+	unheldCount int         // consecutive new epochs under which the lease got no holder
 
-	rated       mono.Time // time of the last report that counted for rates
+	ratedAt     mono.Time // time of the last report that counted for rates
 	ignoreUntil mono.Time // reports are left out of the rates before this
 }
 
@@ -38,8 +38,8 @@
 	return &serverMemory{downFlipAt: mono.Never, slowFlipAt: mono.Never, removeAt: mono.Never}
 }
 
-// carries reports whether the server may own shards.
-func (s *serverMemory) carries() bool {
+// mayOwnShards reports whether the server may own shards.
+func (s *serverMemory) mayOwnShards() bool {
 	return !s.down && !s.slow && s.state == part.Active
 }
 
@@ -56,35 +56,35 @@
 	s.state, s.known = row.State, true
 }
 
-// observeHolder notes whether anybody holds the lease.
+// observeHolder records whether the lease has a holder.
 func (s *serverMemory) observeHolder(now mono.Time, row part.Server, held bool) {
 	switch {
 	case held:
 		s.epoch, s.unheldAt, s.unheldCount = row.Epoch, now.Add(unheldWait), 0
 	case row.Epoch != s.epoch:
-		// A home that can't get its lease under the new epoch either has some other trouble; new epochs without
-		// end would not mend it, and would eat the table's writes.
+		// A home that can't get its lease under the new epoch either has another fault. Further epochs would not
+		// repair it and would use up the table's writes, so the wait doubles.
 		s.epoch, s.unheldAt = row.Epoch, now.Add(unheldWait<<min(s.unheldCount, unheldDoubles))
 		s.unheldCount++
 	}
 }
 
-// observeReport flips down and slow once reports have said the same for long enough.
+// observeReport changes down and slow once reports have agreed for long enough.
 func (s *serverMemory) observeReport(now mono.Time, r Report) {
 	flipped := flip(now, r.Received, &s.down, &s.downFlipAt, r.Down, downWait, upWait)
-	lagged := flip(now, r.Received, &s.slow, &s.slowFlipAt, r.Slow, slowWait, fastWait)
+	slowFlipped := flip(now, r.Received, &s.slow, &s.slowFlipAt, r.Slow, slowWait, fastWait)
 	switch {
-	case (flipped && s.down) || (lagged && s.slow):
-		s.noteFailure(now)
-	case flipped || lagged:
+	case (flipped && s.down) || (slowFlipped && s.slow):
+		s.recordFailure(now)
+	case flipped || slowFlipped:
 		s.startRamp(now)
 	}
 }
 
-// flip turns a state once reports have said the other for the wait, and reports whether it did.
+// flip changes a state once reports have contradicted it for the wait, and reports whether it did.
 //
-// One report is not enough, however old it grows: it may be the last word of a home from before it was
-// lost, and would bring its server back while nobody has seen it work.
+// One report is never enough, however old: it may be a home's last report before it failed, and would bring
+// its server back although no home has reached it since.
 func flip(now, received mono.Time, is *bool, at *mono.Time, said bool, on, off time.Duration) bool {
 	if said == *is {
 		*at = mono.Never
@@ -104,27 +104,27 @@
 	return true
 }
 
-// assumeDown takes the server for down without a report; only reports bring it back.
+// assumeDown marks the server as down without a report. Only reports change it back.
 func (s *serverMemory) assumeDown() {
 	s.down, s.downFlipAt = true, mono.Never
 }
 
-// noteFailure makes a server that fails again and again wait longer each time. Without it, one that falls
-// over as soon as it is loaded would be filled and emptied every few seconds, and all its keys with it.
-func (s *serverMemory) noteFailure(now mono.Time) {
-	if !now.Before(s.forgiveAt) {
+// recordFailure makes a server that fails repeatedly wait longer each time. Otherwise the shards of a server
+// that collapses under load would move to it and away every few seconds.
+func (s *serverMemory) recordFailure(now mono.Time) {
+	if !now.Before(s.failuresExpireAt) {
 		s.failures = 0
 	}
 	s.failures++
-	s.forgiveAt = now.Add(flapMemory)
+	s.failuresExpireAt = now.Add(flapWindow)
 }
 
 func (s *serverMemory) startRamp(now mono.Time) {
 	s.ramped = true
 	s.rampFrom = now
-	if s.failures > 1 && now.Before(s.forgiveAt) {
+	if s.failures > 1 && now.Before(s.failuresExpireAt) {
 		s.rampFrom = now.Add(flapWait << min(s.failures-2, flapDoubles))
-		s.forgiveAt = s.rampFrom.Add(flapMemory)
+		s.failuresExpireAt = s.rampFrom.Add(flapWindow)
 	}
 }
 
@@ -143,19 +143,19 @@
 	return min(float64(steps)/rampSteps, 1)
 }
 
-// ramps reports whether the server's share still grows, or has only just stopped growing.
+// ramps reports whether the server's share still grows, or stopped growing less than two steps ago.
 func (s *serverMemory) ramps(now mono.Time) bool {
 	return s.ramped && now.Before(s.rampFrom.Add((rampSteps+2)*rampStep))
 }
 
 func (s *serverMemory) sinceRated(t mono.Time) time.Duration {
-	if s.rated == 0 {
+	if s.ratedAt == 0 {
 		return rateWindow
 	}
-	return t.Sub(s.rated)
+	return t.Sub(s.ratedAt)
 }
 
-// planStates writes down which servers may be given work.
+// planStates sets the state of every server: active, down or draining.
 func (p *planner) planStates() {
 	for id := range p.lostServers() {
 		p.memory.servers[id].assumeDown()
@@ -186,7 +186,7 @@
 	return part.Active, "server is back"
 }
 
-// planRemovals removes the rows of servers that left the config, once no shard names them any more.
+// planRemovals removes the rows of servers that left the config, once no shard refers to them.
 func (p *planner) planRemovals() {
 	gone := func(id ident.Server) bool { return p.servers[id] == nil }
 	if !slices.ContainsFunc(slices.Collect(maps.Keys(p.in.Part.Servers)), gone) {
@@ -206,7 +206,7 @@
 	}
 }
 
-// mayRemove waits until every entry has surely heard that the server is draining.
+// mayRemove reports whether every entry daemon is certain to have received that the server is draining.
 func (p *planner) mayRemove(id ident.Server) bool {
 	s := p.memory.servers[id]
 	if s == nil {
--- a/core/place/shards.go
+++ b/core/place/shards.go
@@ -10,26 +10,26 @@
 	"heatherrouter/core/part"
 )
 
-// target is a backend server as the placing of shards sees it.
+// target is a backend server as an owner of shards.
 type target struct {
-	id     ident.Server
-	weight float64 // slots, less while it ramps; 0 when it may get nothing
-	load   float64 // requests/s of its shards
-	shards []ident.Shard
-	pinned bool // has one shard that is more than its fair load
-	away   bool // all its shards are to leave
-	reason string
-	urgent bool // they leave all at once, since nobody serves them
+	id         ident.Server
+	weight     float64 // slots, scaled by the ramp; 0 if it may get no shards
+	load       float64 // requests/s of its shards
+	shards     []ident.Shard
+	pinned     bool // one of its shards exceeds its share of the load
+	evacuating bool // all its shards must move away
+	reason     string
+	urgent     bool // its shards move all at once, as they are unserved
 }
 
-// planShards gives shards that have no owner to one, takes them from servers that can't serve, and
-// balances the rest.
+// planShards assigns shards without an owner, moves shards off servers that can't serve, and balances the
+// rest.
 func (p *planner) planShards() {
 	p.firstShards()
 	p.settleShards()
 	t := p.targets()
-	if !anyAway(t) && p.now.Before(p.memory.balanceAt) {
-		return // counting the shards of every server ten times a second would be most of a plan's cost
+	if !anyEvacuating(t) && p.now.Before(p.memory.balanceAt) {
+		return // counting every server's shards ten times a second would be most of the cost of planning
 	}
 	p.countShards(t)
 	if p.evacuate(t) {
@@ -38,17 +38,17 @@
 	p.balance(t)
 }
 
-func anyAway(t map[ident.Server]*target) bool {
+func anyEvacuating(t map[ident.Server]*target) bool {
 	for _, x := range t {
-		if x.away {
+		if x.evacuating {
 			return true
 		}
 	}
 	return false
 }
 
-// firstShards assigns shards that no row holds yet, evenly, a whole row at a time. It waits for the rows
-// of all servers, which may need more than one transaction, so that none starts without shards.
+// firstShards assigns the shards that are in no row yet, evenly and a whole row at a time. It waits for the
+// rows of all servers, which may take more than one transaction, so that no server starts without shards.
 func (p *planner) firstShards() {
 	var ids []ident.Server
 	for _, id := range slices.Sorted(maps.Keys(p.servers)) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// firstOwner chooses by rendezvous score among servers that are not full, so that two coordinators that
-// see nearly the same servers choose nearly the same owners.
+// firstOwner chooses by rendezvous score among servers below their even share, so that two coordinators with
+// nearly the same servers choose nearly the same owners.
 func firstOwner(s ident.Shard, ids []ident.Server, count map[ident.Server]int, even int) ident.Server {
 	name := string(part.ShardsRow(int(s)))
 	return slices.MaxFunc(ids, func(a, b ident.Server) int {
@@ -95,7 +95,7 @@
 	})
 }
 
-// targets returns every server that has a row, by name, without its shards.
+// targets returns every server that has a row, by ID, without its shards.
 func (p *planner) targets() map[ident.Server]*target {
 	t := map[ident.Server]*target{}
 	slow := p.stragglers()
@@ -105,14 +105,14 @@
 		c, m := p.servers[id], p.memory.servers[id]
 		switch {
 		case c == nil || row.State == part.Draining:
-			x.away, x.reason = true, "owner drains"
+			x.evacuating, x.reason = true, "owner drains"
 		case row.State == part.Down:
-			x.away, x.urgent, x.reason = true, true, "owner is down"
+			x.evacuating, x.urgent, x.reason = true, true, "owner is down"
 		case slow[id]:
-			x.away, x.reason = true, "owner is slow"
+			x.evacuating, x.reason = true, "owner is slow"
 		case p.in.Part.Servers[id].State != part.Active:
-			// It comes back with this very plan. Its ramp starts when the part shows that; until then it would
-			// count as a whole server and be given its full share at once, cold.
+			// This plan makes the server active. Its ramp starts only when that is committed; until then it would
+			// get its full share at once while cold.
 		default:
 			x.weight = float64(max(c.Slots, 1)) * m.ramp(p.now)
 		}
@@ -129,8 +129,8 @@
 	}
 }
 
-// stragglers returns the servers that have been slow for long. When many are slow at once the cause is
-// not theirs, and moving their shards would only load the others.
+// stragglers returns the servers that have been slow for long. If many are slow at once, the cause is shared
+// and moving their shards would only load the others.
 func (p *planner) stragglers() map[ident.Server]bool {
 	slow := map[ident.Server]bool{}
 	for id, m := range p.memory.servers {
@@ -151,8 +151,8 @@
 	return p.memory.shards[s].rate + baseRate
 }
 
-// settleShards writes down releases, so that the shards may move on. It waits a little for shards that
-// have not been released, to need one transaction for all.
+// settleShards records releases, so that the shards may move again. It waits up to settleWait for unreleased
+// shards, to record all in one transaction.
 func (p *planner) settleShards() {
 	var ready []ident.Shard
 	pending := 0
@@ -180,20 +180,20 @@
 	})
 }
 
-// evacuate moves shards off servers that can't serve them, the busiest of all first, each to the server
-// that is then the least loaded. It reports whether such shards were there to move.
+// evacuate moves shards off servers that can't serve them, the busiest shards first, each to the server that
+// is then the least loaded. It reports whether it moved any.
 //
-// Servers that still work give up their shards in several small transactions: each move makes its keys
-// wait for a release, and the receiving servers take the load up step by step.
+// Servers that still work lose their shards in several small transactions: the keys of each move wait for a
+// release, and the receiving servers get the load in steps.
 func (p *planner) evacuate(t map[ident.Server]*target) bool {
 	var all []ident.Shard
 	for _, id := range slices.Sorted(maps.Keys(t)) {
-		if t[id].away {
+		if t[id].evacuating {
 			all = append(all, t[id].shards...)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b ident.Shard) int { return cmp.Compare(p.rate(b), p.rate(a)) })
-	to := carriers(t)
+	to := eligible(t)
 	moved, planned := false, 0
 	for _, s := range all {
 		from := t[p.draft.shards[s].Server]
@@ -213,7 +213,7 @@
 func (p *planner) evacuateShard(t map[ident.Server]*target, l []*target, from *target, s ident.Shard) bool {
 	o := p.draft.shards[s]
 	if o != p.in.Part.Owner(s) {
-		return false // settled by this plan; the rules let it move by the next
+		return false // changed by this plan; the rules allow the next plan to move it
 	}
 	to := t[o.Previous]
 	if o.Previous == "" {
@@ -227,7 +227,7 @@
 	return true
 }
 
-// leastLoaded returns the server that would be the least loaded with another shard, or nil.
+// leastLoaded returns the server that would have the lowest load with another shard, or nil.
 func leastLoaded(l []*target, rate float64) *target {
 	var best *target
 	for _, x := range l {
--- a/core/place/witness.go
+++ b/core/place/witness.go
@@ -8,7 +8,7 @@
 	"heatherrouter/core/part"
 )
 
-// planWitnesses keeps the witnesses alive and spread over domains, by one change at a time.
+// planWitnesses keeps the witnesses alive and distributed over domains, one change at a time.
 func (p *planner) planWitnesses() {
 	w := p.in.Part.Witnesses
 	switch {
@@ -43,11 +43,11 @@
 	p.draft.setWitnesses(part.Witnesses{Current: w.Current, Next: next}, reason)
 }
 
-// keepWitnesses returns the witnesses that stay, and why others don't.
+// keepWitnesses returns the witnesses that stay, and the reason if others are removed.
 func (p *planner) keepWitnesses(l []ident.Daemon) (keep []ident.Daemon, reason string) {
 	alive := 0
 	for _, d := range l {
-		if !p.silent(d) {
+		if !p.unresponsive(d) {
 			alive++
 		}
 	}
@@ -57,7 +57,7 @@
 	}
 	for _, d := range l {
 		switch {
-		case p.silent(d) && !p.now.Before(p.lastWord(d).Add(wait)):
+		case p.unresponsive(d) && !p.now.Before(p.lastContact(d).Add(wait)):
 			reason = "witness is gone"
 		case p.leaving(d):
 			reason = "witness leaves"
@@ -69,11 +69,11 @@
 }
 
 func (p *planner) mayGrow(n int) bool {
-	return n < witnessCount && p.settled(growWait) >= n+2
+	return n < witnessCount && p.countStable(growWait) >= n+2
 }
 
-// settled counts the usable daemons that have been there for a while.
-func (p *planner) settled(wait time.Duration) int {
+// countStable returns the number of usable daemons that have been alive for at least the wait.
+func (p *planner) countStable(wait time.Duration) int {
 	n := 0
 	for _, d := range p.usable {
 		if !p.now.Before(d.AliveSince.Add(wait)) {
@@ -83,11 +83,11 @@
 	return n
 }
 
-// spreadWitnesses drops witnesses of a domain that has more than its share, if another domain has a
-// daemon that has been there for a while. Otherwise the return of a lost domain would leave the witnesses
-// where they fled to, and the next loss could take a majority of them.
+// spreadWitnesses drops witnesses of a domain that has more than its share, if another domain has a daemon
+// that has been alive for spreadWait. Otherwise the witnesses would stay concentrated after a failed domain
+// returns, and the next failure of a domain could remove a majority of them.
 func (p *planner) spreadWitnesses(l []ident.Daemon) (keep []ident.Daemon, reason string) {
-	if p.settled(spreadWait) < len(l) {
+	if p.countStable(spreadWait) < len(l) {
 		return nil, ""
 	}
 	most := p.perDomain(spreadWait)
@@ -95,7 +95,7 @@
 	for _, id := range l {
 		d := p.daemons[id]
 		if d == nil {
-			return nil, "" // a silent one that is about to be replaced anyway
+			return nil, "" // an unresponsive witness, which is replaced anyway
 		}
 		if count[d.Domain] >= most {
 			reason = "witnesses spread better"
@@ -107,7 +107,7 @@
 	return keep, reason
 }
 
-// perDomain returns how many witnesses one domain may have if they are spread evenly.
+// perDomain returns the most witnesses that one domain has if they are distributed evenly.
 func (p *planner) perDomain(wait time.Duration) int {
 	size := map[ident.Domain]int{}
 	for _, d := range p.usable {
@@ -127,7 +127,7 @@
 	}
 }
 
-// pickWitnesses fills up the kept ones with usable daemons, always from the domain that has the fewest.
+// pickWitnesses adds usable daemons to the kept witnesses, each from the domain that has the fewest.
 func (p *planner) pickWitnesses(keep []ident.Daemon) []ident.Daemon {
 	l := append([]ident.Daemon(nil), keep...)
 	count := map[ident.Domain]int{}
@@ -159,7 +159,7 @@
 	return l
 }
 
-// shrinks reports whether a next set would have fewer live members than the current one: a change that only
+// shrinks reports whether the next set has fewer live members than the current one. A change that only
 // shrinks the set is not worth its wait.
 func (p *planner) shrinks(next, current []ident.Daemon) bool {
 	return p.countAlive(next) < p.countAlive(current)
@@ -168,7 +168,7 @@
 func (p *planner) countAlive(l []ident.Daemon) int {
 	n := 0
 	for _, d := range l {
-		if !p.silent(d) {
+		if !p.unresponsive(d) {
 			n++
 		}
 	}
