--- a/core/place/daemons.go
+++ b/core/place/daemons.go
@@ -50,16 +50,16 @@
 // safe, but the keys of each server would be unserved for a lease time. After isolatedWait the planner
 // replaces them all the same.
 func (p *planner) mostUnresponsive() bool {
-	alive, silent := 0, 0
+	alive, unresponsive := 0, 0
 	for id, d := range p.daemons {
 		switch {
 		case d.Alive(p.now):
 			alive++
 		case p.now.Before(d.LastContact.Add(recentWait)) && d.Listed != live.ListedGone && !p.leaving(id):
-			silent++
+			unresponsive++
 		}
 	}
-	return silent > alive
+	return unresponsive > alive
 }
 
 // lostServers returns the servers of domains with more than one known daemon, all of them unresponsive. It
--- a/core/place/homes.go
+++ b/core/place/homes.go
@@ -53,16 +53,16 @@
 		p.replaceHome(row)
 	case p.leaving(row.Home):
 		if d := p.chooseHome(row.ID, row.Home); d != "" {
-			p.rehome(row, d, "home leaves")
+			p.rehome(row, d, "home is leaving")
 		}
 	case held && holder.Epoch < row.Epoch && holder.Daemon != row.Home && !row.Supersede && p.unresponsive(holder.Daemon):
 		// The last home stopped responding before its handover. If it is only isolated from the coordinator, it
 		// goes on renewing its lease and the new home never gets one. With Supersede set, the witnesses refuse
 		// the last home's renewals.
 		row.Supersede = true
-		p.draft.setServer(row, "last home is silent")
+		p.draft.setServer(row, "last home is unresponsive")
 	case !held && p.unheld(row.ID):
-		p.rehome(row, p.homeForUnheld(row), "nobody holds the lease")
+		p.rehome(row, p.homeForUnheld(row), "lease has no holder")
 	default:
 		p.planStandby(row, held && holder != Holder{Daemon: row.Home, Epoch: row.Epoch})
 	}
@@ -96,7 +96,7 @@
 		home = p.chooseHome(row.ID, row.Home)
 	}
 	if home != "" {
-		p.rehome(row, home, "home is silent")
+		p.rehome(row, home, "home is unresponsive")
 	}
 }
 
@@ -200,7 +200,7 @@
 			continue
 		}
 		if to := p.chooseHome(id, row.Home); to != "" && p.betterHome(id, row.Home, to) {
-			p.rehome(row, to, "homes spread better")
+			p.rehome(row, to, "homes rebalanced")
 			return
 		}
 	}
--- a/core/place/homes_test.go
+++ b/core/place/homes_test.go
@@ -9,7 +9,7 @@
 	"heatherrouter/core/ident"
 )
 
-// homesOf returns the servers that a daemon is home of.
+// homesOf returns the servers whose home is the daemon.
 func (s *site) homesOf(d ident.Daemon) []ident.Server {
 	var l []ident.Server
 	for _, id := range s.in.Part.ServerIDs() {
@@ -20,10 +20,10 @@
 	return l
 }
 
-// A home dies. Its standby waits for the lease to lapse and takes over by itself with the next epoch; the
-// coordinator notices the silence earlier and writes just that epoch, so that neither has to give way.
-// A second writer with another epoch would cost the keys another lease time.
-func TestSilentHomeGoesToStandbyWithItsEpoch(t *testing.T) {
+// A home fails. Its standby waits for the lease to expire and takes over by itself with the next epoch. The
+// coordinator detects the failure earlier and must write the same epoch: with a different one, the keys
+// would be unserved for another lease time.
+func TestUnresponsiveHomeGoesToStandbyWithItsEpoch(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	lost := s.in.Part.Servers["svc/s00"]
@@ -37,9 +37,9 @@
 	require.Empty(t, s.homesOf(lost.Home))
 }
 
-// The standby takes over while the coordinator still hears the old home, say over a path that the lease
-// renewals don't share. The row must follow the lease, or the entries go on asking the old home.
-func TestStandbyThatTookOverIsWrittenDown(t *testing.T) {
+// The standby takes over while the coordinator still has contact with the old home, for example over another
+// path than the lease renewals. The row must follow the lease, or entry daemons go on sending to the old home.
+func TestStandbyThatTookOverBecomesHome(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	old := s.in.Part.Servers["svc/s00"]
@@ -51,9 +51,9 @@
 	require.NotEqual(t, old.Standby, row.Standby)
 }
 
-// Home and standby die together. No epoch is authorised for anybody else, so a third daemon gets one past
-// the standby's: had the standby taken over unseen, its leases must not count as the new home's.
-func TestHomeAndStandbyLostGiveNewEpochToThird(t *testing.T) {
+// Home and standby fail together. A third daemon must get the epoch after the standby's: the standby may have
+// taken over unnoticed, and its leases must not count as the new home's.
+func TestThirdDaemonGetsNewEpochWhenHomeAndStandbyFail(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	old := s.in.Part.Servers["svc/s00"]
@@ -63,8 +63,8 @@
 	require.Equal(t, old.Epoch+2, row.Epoch)
 }
 
-// A daemon gets SIGTERM and says that it leaves. Its homes and its witness seat go while it lives, in one
-// transaction, and nobody is told to supersede it: it has work in flight that must end first.
+// A daemon gets SIGTERM and reports that it is leaving. It must be replaced as home and witness in one transaction
+// while it is alive, and without Supersede: its requests in flight must end first.
 func TestLeavingDaemonHandsOverAlive(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
@@ -83,15 +83,15 @@
 	for _, id := range moved {
 		require.False(t, s.in.Part.Servers[id].Supersede)
 	}
-	require.Contains(t, d.Reasons, "home leaves")
-	// The old home falls silent before it has handed over: now the new one must not wait for it.
+	require.Contains(t, d.Reasons, "home is leaving")
+	// The old home stops responding before its handover, so the new one must no longer wait for it.
 	s.in.Holders[moved[0]] = Holder{Daemon: w, Epoch: 1}
 	s.run(1100*time.Millisecond, w)
 	require.True(t, s.in.Part.Servers[moved[0]].Supersede)
 }
 
-// The coordinator is cut off and hears nobody, or all others froze. Were it to act at once, it would take
-// all homes upon itself while the others serve well.
+// The coordinator is isolated or all other daemons are paused. If it acted at once, it would make itself the home of
+// all servers while the other daemons still work.
 func TestIsolatedCoordinatorWaits(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
@@ -103,11 +103,11 @@
 	s.run(4*time.Second, others...)
 	require.Equal(t, n, s.commits, "%v", s.reasons)
 	s.run(2*time.Second, others...)
-	require.Greater(t, s.commits, n, "but not for ever")
+	require.Greater(t, s.commits, n, "homes of unresponsive daemons are never replaced")
 }
 
-// All daemons are replaced at once; the part names daemons that nobody has ever heard. The assignment of
-// shards stays, homes and witnesses move to the new daemons within seconds.
+// All daemons are replaced at once, so the part names only unknown daemons. The assignment of shards must stay, and
+// homes and witnesses must move to the new daemons within seconds.
 func TestAllDaemonsReplaced(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
@@ -135,7 +135,7 @@
 	old := s.in.Part.Witnesses.Current
 	dead := old[1:3]
 	s.run(4*time.Second, dead...)
-	require.False(t, s.in.Part.Witnesses.Changing(), "two may be silent for a while")
+	require.False(t, s.in.Part.Witnesses.Changing(), "witnesses replaced before the wait is over")
 	s.run(1200*time.Millisecond, dead...)
 	s.run(time.Second, dead...)
 	w := s.in.Part.Witnesses
@@ -146,8 +146,8 @@
 	require.Equal(t, old[0], w.Current[0])
 }
 
-// One of only three daemons leaves, and nobody can take its seat. A set of one witness in its place would
-// be lost with a single daemon; two of the three that stay still form a majority.
+// One of only three daemons leaves, and no other daemon can replace it as a witness. A single witness would fail with
+// its daemon; in the set of three, the two daemons that stay still form a majority.
 func TestWitnessWithoutReplacementStays(t *testing.T) {
 	s := newSite(t, 3, 64)
 	s.in.Daemons = s.in.Daemons[:3]
@@ -159,9 +159,9 @@
 	require.Empty(t, s.in.Part.Witnesses.Retired)
 }
 
-// A domain of daemons goes and the witnesses flee to the other two; it comes back. Three of five would
-// stay in one domain, whose loss then stops all leases, unless they are spread again.
-func TestWitnessesSpreadAgainAfterDomainReturns(t *testing.T) {
+// All daemons of a domain fail, the witnesses move to the other two domains, and the domain returns. Unless the
+// witnesses are rebalanced, three of five stay in one domain, whose failure then stops all leases.
+func TestWitnessesAreRebalancedAfterDomainReturns(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	var z1 []ident.Daemon
@@ -220,8 +220,8 @@
 	require.Len(t, s.in.Part.Witnesses.Current, 5)
 }
 
-// All daemons of a new site start within seconds, and the first one to plan knows only itself. Were it to
-// assign at once, it would be the home of everything, and all of that would move seconds later.
+// All daemons of a new site start within seconds, and the first one to plan knows only itself. If it assigned at once,
+// it would be the home of every server, and all homes would move seconds later.
 func TestFirstDaemonWaitsForTheOthers(t *testing.T) {
 	s := newSite(t, 15, 512)
 	all := s.in.Daemons
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -16,18 +16,18 @@
 
 const start = mono.Time(time.Hour)
 
-// site is a service with its daemons, planned step by step with a hand-set clock.
+// site is a service with its daemons, planned step by step under a manual clock.
 type site struct {
-	t       *testing.T
-	now     mono.Time
-	in      Input
-	commits int
-	reasons []string
-	mute    bool // homes don't tell of releases
-	holding bool // the home of each row holds its lease, if it speaks
+	t                *testing.T
+	now              mono.Time
+	in               Input
+	commits          int
+	reasons          []string
+	withholdReleases bool // homes report no releases
+	holding          bool // the home of each row holds its lease, if it is responsive
 }
 
-// newSite has servers and four daemons in each of three domains.
+// newSite returns a site with the servers and twelve daemons distributed over three domains.
 func newSite(t *testing.T, servers, shards int) *site {
 	s := &site{t: t, now: start, in: Input{
 		Service: &config.Service{Name: "svc", Region: "r", Shards: shards},
@@ -56,7 +56,7 @@
 	return ident.Domain(fmt.Sprintf("z%d", i))
 }
 
-// step plans once and commits the plan; what breaks a rule fails the test.
+// step plans once and commits the plan. A plan that violates a rule fails the test.
 func (s *site) step() Decision {
 	d := Plan(s.now, s.in)
 	require.Len(s.t, d.Reasons, len(d.Changes))
@@ -74,22 +74,22 @@
 	return d
 }
 
-// run plans every 100 ms, with all daemons but the silent ones speaking, homes holding what the rows say
-// and releasing at once.
-func (s *site) run(d time.Duration, silent ...ident.Daemon) {
+// run plans every 100 ms. All daemons but the unresponsive ones send heartbeats, and homes release moved
+// shards at once.
+func (s *site) run(d time.Duration, unresponsive ...ident.Daemon) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(100 * time.Millisecond) {
-		s.speak(silent...)
+		s.heartbeat(unresponsive...)
 		s.step()
 	}
 }
 
-func (s *site) speak(silent ...ident.Daemon) {
-	quiet := map[ident.Daemon]bool{}
-	for _, d := range silent {
-		quiet[d] = true
+func (s *site) heartbeat(unresponsive ...ident.Daemon) {
+	skip := map[ident.Daemon]bool{}
+	for _, d := range unresponsive {
+		skip[d] = true
 	}
 	for i := range s.in.Daemons {
-		if d := &s.in.Daemons[i]; !quiet[d.Daemon] {
+		if d := &s.in.Daemons[i]; !skip[d.Daemon] {
 			d.LastContact = s.now
 		}
 	}
@@ -97,11 +97,11 @@
 		return
 	}
 	if s.holding {
-		s.holdLeases(quiet)
+		s.holdLeases(skip)
 	}
 	clear(s.in.Released)
 	s.in.MaySettle = s.in.Part.Witnesses.Changing()
-	if s.mute {
+	if s.withholdReleases {
 		return
 	}
 	for _, l := range s.in.Part.Unreleased() {
@@ -125,17 +125,17 @@
 	for _, c := range s.in.Service.Servers {
 		row := p.Servers[c.ID]
 		require.Equal(t, c.Domain, s.domain(row.Home), "home in the server's own domain")
-		require.NotEqual(t, c.Domain, s.domain(row.Standby), "standby in another")
+		require.NotEqual(t, c.Domain, s.domain(row.Standby), "standby in another domain")
 		require.InDelta(t, 34, count[c.ID], 1)
 	}
 	s.run(2 * time.Minute)
 	require.Equal(t, 1, s.commits, "%v", s.reasons)
 }
 
-func (s *site) holdLeases(quiet map[ident.Daemon]bool) {
+func (s *site) holdLeases(unresponsive map[ident.Daemon]bool) {
 	clear(s.in.Holders)
 	for id, row := range s.in.Part.Servers {
-		if !quiet[row.Home] {
+		if !unresponsive[row.Home] {
 			s.in.Holders[id] = Holder{Daemon: row.Home, Epoch: row.Epoch}
 		}
 	}
--- a/core/place/server.go
+++ b/core/place/server.go
@@ -201,7 +201,7 @@
 	for _, id := range p.in.Part.ServerIDs() {
 		row := p.in.Part.Servers[id]
 		if p.servers[id] == nil && row.State == part.Draining && !used[id] && p.mayRemove(id) {
-			p.draft.removeServer(id, "server left the config and has ended its work")
+			p.draft.removeServer(id, "server left the config and is drained")
 		}
 	}
 }
--- a/core/place/shards.go
+++ b/core/place/shards.go
@@ -105,7 +105,7 @@
 		c, m := p.servers[id], p.memory.servers[id]
 		switch {
 		case c == nil || row.State == part.Draining:
-			x.evacuating, x.reason = true, "owner drains"
+			x.evacuating, x.reason = true, "owner is draining"
 		case row.State == part.Down:
 			x.evacuating, x.urgent, x.reason = true, true, "owner is down"
 		case slow[id]:
--- a/core/place/shards_test.go
+++ b/core/place/shards_test.go
@@ -28,7 +28,7 @@
 	s.in.Reports[id] = r
 }
 
-// runReporting is run with a report about one server before each step.
+// runReporting calls run for the time, with a report on one server before each step.
 func (s *site) runReporting(d time.Duration, id ident.Server, r Report) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.report(id, r)
@@ -36,9 +36,9 @@
 	}
 }
 
-// A home calls its server down and then up again at once, as after a lost connection. Moving its shards
-// would cost each of them a release; one report, and one that has grown old, must move nothing.
-func TestOneReportOfDownMovesNothing(t *testing.T) {
+// A home reports its server as down and soon as up again, as after a lost connection. Each moved shard would have to
+// wait for a release, so a single report, even an old one, must move nothing.
+func TestSingleDownReportMovesNothing(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	s.report("svc/s00", Report{Down: true})
@@ -49,7 +49,7 @@
 	require.Equal(t, 1, s.commits, "%v", s.reasons)
 }
 
-func TestDownServerLosesAllAndReturnsInSteps(t *testing.T) {
+func TestDownServerLosesAllShardsAndRampsUp(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	had := s.owned("svc/s00")
@@ -64,9 +64,9 @@
 	require.InDelta(t, had, s.owned("svc/s00"), 5)
 }
 
-// A server falls over as soon as it is loaded, comes back, and falls over again. Each round trip moves its
-// shards twice; the waits between them must grow.
-func TestServerThatFailsAgainAndAgainIsFilledLessOften(t *testing.T) {
+// A server repeatedly collapses under load and recovers. Each cycle moves its shards twice, so the waits between the
+// cycles must grow.
+func TestRepeatedlyFailingServerIsFilledLessOften(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	fills := 0
@@ -80,9 +80,9 @@
 	require.LessOrEqual(t, fills, 8)
 }
 
-// A shard is on its way from a to b when b dies. a has not released it and may still work on it, so no
-// third server may get it; it can only go back, and that at once.
-func TestUnreleasedShardOnlyGoesBack(t *testing.T) {
+// A shard moves from a to b, and b fails before a has released it. As a may still process its requests, no third
+// server may get the shard: it must move back to a, and at once.
+func TestUnreleasedShardOnlyMovesBack(t *testing.T) {
 	s := newSite(t, 3, 64)
 	s.run(3 * time.Second)
 	o := s.in.Part.Owner(7)
@@ -97,7 +97,7 @@
 	s.in.Part = p
 	for range 12 {
 		s.report(to, Report{Down: true})
-		s.speak()
+		s.heartbeat()
 		delete(s.in.Released, 7)
 		s.step()
 		s.now = s.now.Add(100 * time.Millisecond)
@@ -105,8 +105,8 @@
 	require.Equal(t, part.Ownership{Server: o.Server, Epoch: 3, Previous: to}, s.in.Part.Owner(7))
 }
 
-// An operator drains a domain. Its servers must get nothing new within 3 s, in transactions that don't move
-// everything at once, and what comes back afterwards ramps.
+// An operator drains a domain. Its servers must lose all shards within 3 s, in several transactions. After the
+// drain ends, the servers must ramp up.
 func TestDomainDrain(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
@@ -132,15 +132,15 @@
 	}
 	delete(s.in.Drains.Domains, "z1")
 	s.run(4 * time.Second)
-	ramping := 512 / 4 / (10 + 5.0/4) // a quarter of the share of ten whole servers and five quarters
+	ramping := 512 / 4 / (10 + 5.0/4) // a quarter of the share, with ten servers at full weight and five at a quarter
 	require.LessOrEqual(t, float64(s.owned("svc/s01")), ramping+1)
 	s.run(2 * time.Minute)
 	require.InDelta(t, 34, s.owned("svc/s01"), 6)
 }
 
-// All daemons of a domain fall silent at once: their servers have gone with them. Waiting for new homes to
-// find that out would add their lease wait to the time that the keys are unserved.
-func TestLostDomainLosesShardsAtOnce(t *testing.T) {
+// All daemons of a domain stop responding at once, so its servers have probably failed too. Waiting for new homes to
+// detect this would add their lease wait to the time for which the keys are unserved.
+func TestFailedDomainLosesShardsAtOnce(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
 	for _, c := range s.in.Service.Servers {
@@ -157,9 +157,9 @@
 	s.run(20*time.Second, lost...)
 	require.Equal(t, before.Shards, s.in.Part.Shards)
 	for id, row := range before.Servers {
-		require.Equal(t, row.State, s.in.Part.Servers[id].State, "%s, whose last report said that it works", id)
+		require.Equal(t, row.State, s.in.Part.Servers[id].State, "state of %s changed although its last report was up", id)
 	}
-	// Two writes for witnesses, one for standbys, and a home back to its domain every 10 s.
+	// Two writes for witnesses, one for standbys, and one every 10 s for a home that moves back to its domain.
 	require.LessOrEqual(t, s.commits-n, 5, "%v", s.reasons)
 }
 
@@ -170,7 +170,7 @@
 	s.in.Service.Servers = append(s.in.Service.Servers[1:], config.Server{ID: "svc/new", Domain: "z2", Slots: 3})
 	s.run(4 * time.Second)
 	require.Zero(t, s.owned(gone))
-	require.LessOrEqual(t, s.owned("svc/new"), 34/4+1, "it starts cold")
+	require.LessOrEqual(t, s.owned("svc/new"), 34/4+1, "new server got more than its first ramp step")
 	require.Equal(t, part.Draining, s.in.Part.Servers[gone].State)
 	s.run(6 * time.Second)
 	require.NotContains(t, s.in.Part.Servers, gone)
@@ -178,9 +178,9 @@
 	require.InDelta(t, 34, s.owned("svc/new"), 6)
 }
 
-// A drained server comes back, at any moment between two looks at the balance. It may be cold, so it must
-// start with a quarter of its share; in the transaction that makes it active it must get nothing yet.
-func TestServerDrainEndsWithRamp(t *testing.T) {
+// The drain of a server ends at any time between two checks of the balance. The server may be cold, so it must
+// start with a quarter of its share, and must get no shards in the transaction that makes it active.
+func TestServerRampsUpAfterDrain(t *testing.T) {
 	for i := range 10 {
 		s := newSite(t, 15, 512)
 		s.run(3 * time.Second)
@@ -196,8 +196,8 @@
 	}
 }
 
-// More than a third of the servers turn slow together: the cause is shared, such as a database behind them.
-// Their shards would only take the load, and the slowness, to the rest.
+// More than a third of the servers become slow together, so the cause is shared, such as a common database. Moving
+// their shards would only overload the other servers too.
 func TestManyStragglersMoveNothing(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
@@ -214,7 +214,7 @@
 		}
 		s.run(100 * time.Millisecond)
 	}
-	require.Equal(t, 1, s.commits, "three have been slow for long, three for less than 30 s not")
+	require.Equal(t, 1, s.commits, "three servers are still slow, three have not been fast for 30 s")
 }
 
 func TestUnkeyedServiceHasNoShards(t *testing.T) {
@@ -227,7 +227,7 @@
 	require.Equal(t, 2, s.commits)
 }
 
-// More rows than one transaction takes: the plan comes in pieces, and each piece is whole by itself.
+// The assignment needs more rows than fit into one transaction, so it takes several, each valid by itself.
 func TestLargeServiceIsAssignedInSeveralTransactions(t *testing.T) {
 	s := newSite(t, 120, 8192)
 	s.run(4 * time.Second)
@@ -236,14 +236,13 @@
 	require.LessOrEqual(t, s.commits, 4)
 }
 
-// Random operators, daemons and servers: no plan ever breaks a rule (step applies each under the rules of
-// core/part), and once all is quiet, no shard is left with a server that must not have it and planning
-// comes to rest.
+// Under random events of operators, daemons and servers, no plan may violate a rule of core/part (step applies each
+// plan). After the events end, every shard must have an owner that may serve it, and plans must become empty.
 func TestPlansUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newSite(t, rapid.IntRange(1, 9).Draw(r, "servers"), rapid.SampledFrom([]int{0, 1, 64, 130}).Draw(r, "shards"))
 		s.holding = true
-		down, silent := map[ident.Server]bool{}, map[ident.Daemon]bool{}
+		down, unresponsive := map[ident.Server]bool{}, map[ident.Daemon]bool{}
 		all := append([]config.Server(nil), s.in.Service.Servers...)
 		for range rapid.IntRange(1, 25).Draw(r, "events") {
 			server := rapid.SampledFrom(all).Draw(r, "server")
@@ -252,7 +251,7 @@
 			case 0:
 				down[server.ID] = !down[server.ID]
 			case 1:
-				silent[s.in.Daemons[daemon].Daemon] = !silent[s.in.Daemons[daemon].Daemon]
+				unresponsive[s.in.Daemons[daemon].Daemon] = !unresponsive[s.in.Daemons[daemon].Daemon]
 			case 2:
 				s.in.Drains.Servers[server.ID] = !s.in.Drains.Servers[server.ID]
 			case 3:
@@ -262,47 +261,47 @@
 			case 5:
 				s.in.Memory = NewMemory() // another coordinator takes over
 			case 6:
-				s.mute = !s.mute
+				s.withholdReleases = !s.withholdReleases
 			case 7:
 				if l := s.in.Service.Servers; len(l) > 1 {
 					s.in.Service.Servers = append([]config.Server(nil), l[:len(l)-1]...)
 				}
 			}
-			s.chaos(r, down, silent, rapid.IntRange(1, 40).Draw(r, "steps"), 100*time.Millisecond)
+			s.runSteps(r, down, unresponsive, rapid.IntRange(1, 40).Draw(r, "steps"), 100*time.Millisecond)
 		}
-		clear(silent)
-		s.mute = false
+		clear(unresponsive)
+		s.withholdReleases = false
 		for i := range s.in.Daemons {
 			s.in.Daemons[i].Leaving = false
 		}
-		s.chaos(r, down, silent, 450, 2*time.Second)
+		s.runSteps(r, down, unresponsive, 450, 2*time.Second)
 		s.requireSettled(r, down)
 		n := s.commits
-		s.chaos(r, down, silent, 60, 2*time.Second)
+		s.runSteps(r, down, unresponsive, 60, 2*time.Second)
 		require.Equal(r, n, s.commits, "%v", s.reasons[max(0, len(s.reasons)-5):])
 	})
 }
 
-func (s *site) chaos(r *rapid.T, down map[ident.Server]bool, silent map[ident.Daemon]bool, steps int, step time.Duration) {
+func (s *site) runSteps(r *rapid.T, down map[ident.Server]bool, unresponsive map[ident.Daemon]bool, steps int, step time.Duration) {
 	for range steps {
-		var quiet []ident.Daemon
-		for d, is := range silent {
+		var l []ident.Daemon
+		for d, is := range unresponsive {
 			if is {
-				quiet = append(quiet, d)
+				l = append(l, d)
 			}
 		}
 		for _, c := range s.in.Service.Servers {
 			s.report(c.ID, Report{Down: down[c.ID]})
 		}
-		s.speak(quiet...)
+		s.heartbeat(l...)
 		old := s.in.Part
 		s.step()
-		s.requireHigher(r, old)
+		s.requireHigherEpochs(r, old)
 		s.now = s.now.Add(step)
 	}
 }
 
-func (s *site) requireHigher(r *rapid.T, old *part.Part) {
+func (s *site) requireHigherEpochs(r *rapid.T, old *part.Part) {
 	if old == nil || old == s.in.Part {
 		return
 	}
@@ -319,15 +318,15 @@
 }
 
 func (s *site) requireSettled(r *rapid.T, down map[ident.Server]bool) {
-	good := map[ident.Server]bool{}
+	eligible := map[ident.Server]bool{}
 	for _, c := range s.in.Service.Servers {
 		if !down[c.ID] && !s.in.Drains.Servers[c.ID] && !s.in.Drains.Domains[c.Domain] {
-			good[c.ID] = true
+			eligible[c.ID] = true
 		}
 	}
 	for i, o := range s.in.Part.Shards {
-		if len(good) > 0 {
-			require.True(r, good[o.Server], "shard %d of %s, good are %v", i, o.Server, good)
+		if len(eligible) > 0 {
+			require.True(r, eligible[o.Server], "shard %d is owned by %s, eligible are %v", i, o.Server, eligible)
 		}
 	}
 	drained := 0
@@ -338,7 +337,7 @@
 	}
 	if drained < 3 {
 		for id, row := range s.in.Part.Servers {
-			require.False(r, s.in.Drains.Domains[s.domain(row.Home)], fmt.Sprintf("%s at %s", id, row.Home))
+			require.False(r, s.in.Drains.Domains[s.domain(row.Home)], fmt.Sprintf("home of %s is %s, in a drained domain", id, row.Home))
 		}
 	}
 }
--- a/core/place/sim_cases_test.go
+++ b/core/place/sim_cases_test.go
@@ -11,9 +11,9 @@
 
 // TestSimulation measures balance, churn and transactions with 15 servers and 512 shards; -v prints the table.
 //
-// With 10,000 and 100,000 keys the one hottest key alone is above the mean of the servers, so the raw
-// max/mean can't come under the target. What is held against it is max/bound, whose bound is the larger of
-// the mean and the hottest shard.
+// With 10,000 and 100,000 keys the hottest key alone exceeds the mean load of the servers, so max/mean can't
+// meet the target. The test therefore checks max/bound, where the bound is the larger of the mean and the
+// hottest shard.
 func TestSimulation(t *testing.T) {
 	const target, extra = 1.15, 512 * 2 / 100
 	var l []result
@@ -25,21 +25,21 @@
 		if r.settled {
 			require.Less(t, r.bound, target, r.what)
 		}
-		if r.comesOrGoes && r.keys > 10_000 {
+		if r.membershipChange && r.keys > 10_000 {
 			require.LessOrEqual(t, r.moved-r.least, extra, r.what)
 		}
-		if r.still {
+		if r.noMoves {
 			require.Zero(t, r.moved, r.what)
 		}
 		require.LessOrEqual(t, r.again, extra, r.what)
 	}
 }
 
-// What is asserted of a case.
+// Expectations of the cases.
 var (
-	settled     = expect{settled: true}
-	comesOrGoes = expect{settled: true, comesOrGoes: true}
-	still       = expect{settled: true, still: true}
+	settled          = expect{settled: true}
+	membershipChange = expect{settled: true, membershipChange: true}
+	noMoves          = expect{settled: true, noMoves: true}
 )
 
 func simulate(t *testing.T, keys int, seed uint64) []result {
@@ -52,25 +52,25 @@
 		l = append(l, r)
 		k = m.mark()
 	}
-	m.forward(2200 * time.Millisecond)
+	m.advance(2200 * time.Millisecond)
 	add("first assignment", 0, expect{})
-	m.forward(time.Minute)
+	m.advance(time.Minute)
 	add("one minute", 0, settled)
-	m.forward(5 * time.Minute)
+	m.advance(5 * time.Minute)
 	add("five more minutes", 0, settled)
-	m.popularity(keys)
-	m.forward(time.Minute)
+	m.drawShares(keys)
+	m.advance(time.Minute)
 	add("other keys hottest, one minute", 0, settled)
-	m.forward(2 * time.Minute)
+	m.advance(2 * time.Minute)
 	add("two more minutes", 0, settled)
 	id := m.in.Service.Servers[3].ID
 	least := m.owned(id)
 	m.down[id] = true
-	m.forward(20 * time.Second)
-	add("a server dies", least, comesOrGoes)
+	m.advance(20 * time.Second)
+	add("a server fails", least, membershipChange)
 	delete(m.down, id)
-	m.forward(time.Minute)
-	add("the server returns", m.owned(id), comesOrGoes)
+	m.advance(time.Minute)
+	add("the server returns", m.owned(id), membershipChange)
 	least = 0
 	for _, s := range m.in.Service.Servers {
 		if s.Domain == "z1" {
@@ -78,53 +78,53 @@
 		}
 	}
 	m.in.Drains.Domains["z1"] = true
-	m.forward(3 * time.Second)
+	m.advance(3 * time.Second)
 	add("domain drained, 3 s", least, expect{})
-	m.forward(time.Minute)
+	m.advance(time.Minute)
 	add("a minute later", 0, settled)
 	delete(m.in.Drains.Domains, "z1")
-	m.forward(time.Minute)
+	m.advance(time.Minute)
 	least = 0
 	for _, s := range m.in.Service.Servers {
 		if s.Domain == "z1" {
 			least += m.owned(s.ID)
 		}
 	}
-	add("domain back, one minute", least, settled)
-	m.silent = []ident.Daemon{"d04"}
-	m.forward(time.Minute)
-	add("a daemon lost", 0, settled)
-	m.silent = nil
-	m.forward(2 * time.Minute)
+	add("domain undrained, one minute", least, settled)
+	m.unresponsive = []ident.Daemon{"d04"}
+	m.advance(time.Minute)
+	add("a daemon unresponsive", 0, settled)
+	m.unresponsive = nil
+	m.advance(2 * time.Minute)
 	add("the daemon returns", 0, settled)
 	for i := range 3 {
 		m.slow[m.in.Service.Servers[i*5].ID] = true
 	}
-	m.forward(5 * time.Second)
-	add("a fifth slow, 5 s", 0, still)
+	m.advance(5 * time.Second)
+	add("a fifth slow, 5 s", 0, noMoves)
 	clear(m.slow)
-	m.forward(time.Minute)
+	m.advance(time.Minute)
 	add("a minute later", 0, settled)
 	least = 0
 	for i := range 3 {
 		m.slow[m.in.Service.Servers[i*5].ID] = true
 		least += m.owned(m.in.Service.Servers[i*5].ID)
 	}
-	m.forward(time.Minute)
+	m.advance(time.Minute)
 	add("a fifth slow, 60 s", least, settled)
 	clear(m.slow)
-	m.forward(2 * time.Minute)
+	m.advance(2 * time.Minute)
 	add("fast again, two minutes", least, settled)
 	return l
 }
 
-// Two daemons take themselves for the coordinator, each with a memory of its own, and the table commits
-// the plans of both in turn. That may cost some churn, but not a shard that goes back and forth.
+// Two daemons act as the coordinator, each with its own memory, and the table commits the plans of both
+// alternately. Some churn is acceptable, but no shard may move back and forth.
 func TestTwoCoordinatorsDoNotUndoEachOther(t *testing.T) {
 	m := newSim(newSite(t, 15, 512), 100_000, 3000, simSeed)
 	other := NewMemory()
 	for range 1200 {
-		m.forward(simTick)
+		m.advance(simTick)
 		m.in.Memory, other = other, m.in.Memory
 	}
 	r := m.measure("two coordinators", mark{}, 0)
@@ -134,17 +134,17 @@
 	require.Zero(t, r.again)
 }
 
-// A transaction fails, or its reply is lost and its outcome unknown: the next plan rests on the same part
-// and must be the same, not go on from what was only proposed.
+// A transaction fails, or its reply is lost and its outcome is unknown. The next plan has the same part as input and
+// must be the same; it must not build on changes that were only proposed.
 func TestPlanIsTheSameUntilCommitted(t *testing.T) {
 	m := newSim(newSite(t, 15, 512), 100_000, 3000, simSeed)
-	m.forward(3 * time.Second)
-	seen := 0
+	m.advance(3 * time.Second)
+	changes := 0
 	for range 600 {
 		first := Plan(m.now, m.in)
 		require.Equal(t, first, Plan(m.now, m.in))
-		seen += len(first.Changes)
-		m.forward(simTick)
+		changes += len(first.Changes)
+		m.advance(simTick)
 	}
-	require.NotZero(t, seen)
+	require.NotZero(t, changes)
 }
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -18,25 +18,25 @@
 const (
 	simTick    = 100 * time.Millisecond
 	simReport  = 500 * time.Millisecond // between two reports of one home
-	simWindow  = 20                     // ticks that a report covers
-	simHot     = 16                     // shards that a report names
+	simWindow  = 20                     // ticks covered by a report
+	simHot     = 16                     // hot shards in a report
 	simSeed    = 4
 	simRelease = 200 * time.Millisecond // from the commit of a move to its release
 )
 
-// sim drives a site under a load of keys with Zipf 0.99 popularity, hashed over the shards.
+// sim runs a site under a load of keys with Zipf 0.99 popularity, hashed over the shards.
 type sim struct {
 	*site
-	rnd    *rand.Rand
-	share  []float64   // of the load, by shard
-	total  float64     // requests/s
-	counts [][]float64 // requests by tick of the window, by shard, as the present owner saw them
-	tick   int
-	down   map[ident.Server]bool
-	slow   map[ident.Server]bool
-	silent []ident.Daemon
-	moves  []simMove
-	served map[ident.Server]float64 // since the last mark
+	rnd          *rand.Rand
+	share        []float64   // of the load, by shard
+	total        float64     // requests/s
+	counts       [][]float64 // requests by tick of the window, by shard, counted by the current owner
+	tick         int
+	down         map[ident.Server]bool
+	slow         map[ident.Server]bool
+	unresponsive []ident.Daemon
+	moves        []simMove
+	served       map[ident.Server]float64 // requests served since the start
 }
 
 type simMove struct {
@@ -50,15 +50,15 @@
 		site: s, rnd: rand.New(rand.NewPCG(seed, seed)), total: total,
 		down: map[ident.Server]bool{}, slow: map[ident.Server]bool{}, served: map[ident.Server]float64{},
 	}
-	m.popularity(keys)
+	m.drawShares(keys)
 	for range simWindow {
 		m.counts = append(m.counts, make([]float64, s.in.Service.Shards))
 	}
 	return m
 }
 
-// popularity draws the shards of all keys anew, so that other keys are the hottest.
-func (m *sim) popularity(keys int) {
+// drawShares assigns all keys to new random shards, so that other shards are the hottest.
+func (m *sim) drawShares(keys int) {
 	m.share = make([]float64, m.in.Service.Shards)
 	sum := 0.0
 	for k := range keys {
@@ -71,19 +71,19 @@
 	}
 }
 
-func (m *sim) forward(d time.Duration) {
+func (m *sim) advance(d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); m.now = m.now.Add(simTick) {
-		m.speak(m.silent...)
+		m.heartbeat(m.unresponsive...)
 		m.release()
 		m.load()
 		old := m.in.Part
 		m.step()
-		m.note(old)
+		m.recordMoves(old)
 		m.tick++
 	}
 }
 
-// release tells of shards whose move is older than simRelease.
+// release withholds the releases of shards that moved less than simRelease ago.
 func (m *sim) release() {
 	for _, x := range m.moves {
 		if m.now.Before(x.at.Add(simRelease)) {
@@ -93,7 +93,7 @@
 	m.moves = slices.Clip(m.moves)
 }
 
-// load draws this tick's requests and the reports that homes send of them.
+// load draws this tick's requests and makes the homes' reports when they are due.
 func (m *sim) load() {
 	if m.in.Part == nil {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// poisson draws a count; the normal distribution stands in for large means only, where it has no bias.
+// poisson draws a count. It uses the normal distribution only for large means, where this adds no bias.
 func (m *sim) poisson(mean float64) float64 {
 	if mean > 30 {
 		return math.Round(mean + math.Sqrt(mean)*m.rnd.NormFloat64())
@@ -149,7 +149,7 @@
 	}
 }
 
-func (m *sim) note(old *part.Part) {
+func (m *sim) recordMoves(old *part.Part) {
 	if old == nil || old == m.in.Part {
 		return
 	}
@@ -157,33 +157,33 @@
 		if was := old.Owner(ident.Shard(i)).Server; was != "" && was != o.Server {
 			m.moves = append(m.moves, simMove{m.now, ident.Shard(i), was, o.Server})
 			for _, c := range m.counts {
-				c[i] = 0 // the new owner has seen none of the shard's requests yet
+				c[i] = 0 // the new owner has counted no requests of the shard yet
 			}
 		}
 	}
 }
 
-// result is one line of the table.
+// result is one row of the printed table.
 type result struct {
 	expect
 	keys      int
 	what      string
-	imbalance float64 // true load: max/mean over servers that may carry
-	bound     float64 // the same, against the larger of the mean and the hottest shard
+	imbalance float64 // true load: max/mean over servers that may own shards
+	bound     float64 // true load: max over the larger of the mean and the hottest shard
 	moved     int     // shards
-	least     int     // shards that had to move
-	again     int     // moves of a shard that had moved within a minute before
+	least     int     // shards that had to move at least
+	again     int     // moves of a shard that had moved less than a minute before
 	commits   int
 }
 
-// expect says which targets a case is held against.
+// expect selects the targets that a case must meet.
 type expect struct {
-	settled     bool // there was time to balance
-	comesOrGoes bool // a server came or went: few moves beyond the least
-	still       bool // nothing may move
+	settled          bool // there was time to balance
+	membershipChange bool // a server failed or returned: few moves beyond the least
+	noMoves          bool // nothing may move
 }
 
-// measure forms a line from what happened since a mark.
+// measure returns the result of the time since a mark.
 func (m *sim) measure(what string, k mark, least int) result {
 	load, hottest, mean, most := map[ident.Server]float64{}, 0.0, 0.0, 0.0
 	for i, o := range m.in.Part.Shards {
--- a/core/place/tuning.go
+++ b/core/place/tuning.go
@@ -20,7 +20,7 @@
 	growWait        = 3 * time.Second         // a new daemon, until it may bring the witnesses to five
 	spreadWait      = 30 * time.Second        // a new daemon, until it may improve the distribution of witnesses
 	standbyWait     = 5 * time.Second         // an unresponsive standby, until it is replaced
-	unheldDoubles   = 6                       // doublings of unheldWait, while new epochs don't help
+	unheldDoubles   = 6                       // doublings of unheldWait at most, while new epochs don't help
 	unheldWait      = 3 * time.Second         // a lease without holder, until the home gets a new epoch
 	homeWait        = 10 * time.Second        // between two moves of homes for a better distribution
 )
@@ -37,9 +37,9 @@
 	rampFirst        = 1.0 / 16         // share before the first step: admission limits a cold server, and keys bring their load
 	flapWait         = 10 * time.Second // a server that soon failed again waits this long, doubled with each failure
 	flapWindow       = 2 * time.Minute  // failures further apart than this are not counted together
-	flapDoubles      = 5
-	churnShare       = 0.10 // of all shards a minute may be moved for balance alone
-	evacuateStep     = 64   // shards of draining and slow servers in one transaction
+	flapDoubles      = 5                // doublings of flapWait at most
+	churnShare       = 0.10             // of all shards a minute may be moved for balance alone
+	evacuateStep     = 64               // shards of draining and slow servers in one transaction
 )
 
 // Balance, as shares of the mean load.
@@ -57,7 +57,7 @@
 // Estimates of rates.
 const (
 	rateWindow = 10 * time.Second // time constant of the moving mean
-	baseRate   = 0.02             // requests/s taken for a shard that has none, so that idle shards spread too
+	baseRate   = 0.02             // requests/s taken for a shard that has none, so that idle shards are distributed too
 )
 
 // Sizes.
--- a/core/place/witness.go
+++ b/core/place/witness.go
@@ -58,9 +58,9 @@
 	for _, d := range l {
 		switch {
 		case p.unresponsive(d) && !p.now.Before(p.lastContact(d).Add(wait)):
-			reason = "witness is gone"
+			reason = "witness is unresponsive"
 		case p.leaving(d):
-			reason = "witness leaves"
+			reason = "witness is leaving"
 		default:
 			keep = append(keep, d)
 		}
@@ -98,7 +98,7 @@
 			return nil, "" // an unresponsive witness, which is replaced anyway
 		}
 		if count[d.Domain] >= most {
-			reason = "witnesses spread better"
+			reason = "witnesses rebalanced"
 			continue
 		}
 		count[d.Domain]++
