--- a/core/place/draft.go
+++ b/core/place/draft.go
@@ -16,7 +16,7 @@
 	old       *part.Part
 	witnesses part.Witnesses
 	servers   map[ident.Server]part.Server
-	shards    []part.Ownership // those of the old part until copied is set
+	shards    []part.Ownership // shares the old part's slice until copied is set
 	copied    bool
 	reasons   map[ident.Row]*reasons // of every touched row
 }
--- a/core/place/memory.go
+++ b/core/place/memory.go
@@ -24,7 +24,7 @@
 	owned       map[ident.Server][]ident.Shard // shards by owner in the last part
 	churn       bucket
 	balanceAt   mono.Time // when the next round of balancing may start
-	balancing   bool      // a round has started and not yet reached its goal
+	balancing   bool      // a round has started and has not reached its goal
 	lastRound   ident.Rev // the round ends once the part is past this revision; 0 while it goes on
 	spreadAt    mono.Time // when the next home may move for a better distribution
 	settleAt    mono.Time // when released shards are settled without the others
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -19,17 +19,17 @@
 // Input is the complete input of one plan.
 //
 // Released holds answers to the Release calls that the caller sends to the homes named by
-// part.Part.Unreleased. Without them a moved shard can go back to its last owner but no further.
+// part.Part.Unreleased. Without them a moved shard can only move back to its last owner.
 type Input struct {
-	Service   *config.Service // as published
+	Service   *config.Service // the published configuration
 	Drains    Drains
 	Part      *part.Part // nil before the first assignment
 	Daemons   []live.Daemon
 	Reports   map[ident.Server]Report
 	Holders   map[ident.Server]Holder     // current holder of each server's lease, as reported by the witnesses
 	Released  map[ident.Shard]ident.Epoch // epoch of each ownership that its last owner's home has released
-	MaySettle bool                        // the change of witnesses under way may be settled, by the rule of core/lease
-	Memory    *Memory                     // kept by the caller from plan to plan, one for each service
+	MaySettle bool                        // core/lease allows settling the current change of witnesses
+	Memory    *Memory                     // kept by the caller between plans, one for each service
 }
 
 // Drains are the domains, servers and daemons that operators have drained.
@@ -43,11 +43,11 @@
 type Report struct {
 	Received  mono.Time
 	Down      bool
-	Slow      bool // straggler by comparison with its peers
+	Slow      bool // slow in comparison with its peers
 	InFlight  int
 	Queued    int
 	OpenSlots int
-	PerSecond float64       // requests served
+	PerSecond float64       // served requests/s
 	Latency   time.Duration // moving mean of the service time
 	Hot       []HotShard
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -27,7 +27,7 @@
 	holding          bool // the home of each row holds its lease, if it is responsive
 }
 
-// newSite returns a site with the servers and twelve daemons distributed over three domains.
+// newSite returns a site with the servers, and four daemons in each of three domains.
 func newSite(t *testing.T, servers, shards int) *site {
 	s := &site{t: t, now: start, in: Input{
 		Service: &config.Service{Name: "svc", Region: "r", Shards: shards},
--- a/core/place/server.go
+++ b/core/place/server.go
@@ -13,25 +13,25 @@
 // serverMemory is the planner's state of one backend server. Its times are deadlines; mono.Never means
 // not set.
 type serverMemory struct {
-	down       bool      // confirmed
-	slow       bool      // confirmed
-	downFlipAt mono.Time // when down flips unless reports say otherwise
-	slowFlipAt mono.Time // when slow flips unless reports say otherwise
+	down       bool      // reported for downWait, or assumed
+	slow       bool      // reported for slowWait
+	downFlipAt mono.Time // when down changes unless reports contradict
+	slowFlipAt mono.Time // when slow changes unless reports contradict
 
 	state            part.State // of the row, as last seen
 	known            bool       // the row has been seen
-	removeAt         mono.Time  // with state draining: when the row may be removed
-	rampFrom         mono.Time  // when shards start to come back
+	removeAt         mono.Time  // when the row of a draining server may be removed
+	rampFrom         mono.Time  // when shards start to move back
 	ramped           bool       // the ramp has been started at least once
 	failures         int
-	failuresExpireAt mono.Time // when failures are forgotten
+	failuresExpireAt mono.Time // when failures counts from 0 again
 
-	epoch       ident.Epoch // of the row, as last seen
+	epoch       ident.Epoch // epoch of the row, as last seen
 	unheldAt    mono.Time   // when the lease counts as without holder
 	unheldCount int         // consecutive new epochs under which the lease got no holder
 
 	ratedAt     mono.Time // time of the last report that counted for rates
-	ignoreUntil mono.Time // reports are left out of the rates before this
+	ignoreUntil mono.Time // reports received before this are ignored for rates
 }
 
 func newServerMemory() *serverMemory {
@@ -188,8 +188,8 @@
 
 // planRemovals removes the rows of servers that left the config, once no shard refers to them.
 func (p *planner) planRemovals() {
-	gone := func(id ident.Server) bool { return p.servers[id] == nil }
-	if !slices.ContainsFunc(slices.Collect(maps.Keys(p.in.Part.Servers)), gone) {
+	removed := func(id ident.Server) bool { return p.servers[id] == nil }
+	if !slices.ContainsFunc(slices.Collect(maps.Keys(p.in.Part.Servers)), removed) {
 		return
 	}
 	used := map[ident.Server]bool{}
--- a/core/place/shards.go
+++ b/core/place/shards.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// urgent reports whether a released shard's owner is about to lose it.
+// urgent reports whether the owner of a released shard is not active, so that the shard must move again.
 func (p *planner) urgent(ready []ident.Shard) bool {
 	return slices.ContainsFunc(ready, func(s ident.Shard) bool {
 		return p.draft.servers[p.draft.shards[s].Server].State != part.Active
--- a/core/place/shards_test.go
+++ b/core/place/shards_test.go
@@ -166,14 +166,14 @@
 func TestConfigAddsAndRemovesServers(t *testing.T) {
 	s := newSite(t, 15, 512)
 	s.run(3 * time.Second)
-	gone := s.in.Service.Servers[0].ID
+	removed := s.in.Service.Servers[0].ID
 	s.in.Service.Servers = append(s.in.Service.Servers[1:], config.Server{ID: "svc/new", Domain: "z2", Slots: 3})
 	s.run(4 * time.Second)
-	require.Zero(t, s.owned(gone))
+	require.Zero(t, s.owned(removed))
 	require.LessOrEqual(t, s.owned("svc/new"), 34/4+1, "new server got more than its first ramp step")
-	require.Equal(t, part.Draining, s.in.Part.Servers[gone].State)
+	require.Equal(t, part.Draining, s.in.Part.Servers[removed].State)
 	s.run(6 * time.Second)
-	require.NotContains(t, s.in.Part.Servers, gone)
+	require.NotContains(t, s.in.Part.Servers, removed)
 	s.run(time.Minute)
 	require.InDelta(t, 34, s.owned("svc/new"), 6)
 }
--- a/core/place/sim_test.go
+++ b/core/place/sim_test.go
@@ -17,7 +17,7 @@
 
 const (
 	simTick    = 100 * time.Millisecond
-	simReport  = 500 * time.Millisecond // between two reports of one home
+	simReport  = 500 * time.Millisecond // interval between the reports of a home
 	simWindow  = 20                     // ticks covered by a report
 	simHot     = 16                     // hot shards in a report
 	simSeed    = 4
@@ -170,7 +170,7 @@
 	what      string
 	imbalance float64 // true load: max/mean over servers that may own shards
 	bound     float64 // true load: max over the larger of the mean and the hottest shard
-	moved     int     // shards
+	moved     int     // moves of shards
 	least     int     // shards that had to move at least
 	again     int     // moves of a shard that had moved less than a minute before
 	commits   int
--- a/core/place/tuning.go
+++ b/core/place/tuning.go
@@ -8,15 +8,15 @@
 	unknownWait     = 2 * time.Second         // from the first plan, for daemons of the part without any contact
 	recentWait      = 15 * time.Second        // a daemon unresponsive for longer is no sign of isolation
 	isolatedWait    = 5 * time.Second         // without contact to most daemons, until they are replaced
-	downWait        = 700 * time.Millisecond  // a report of down, until the shards move
-	upWait          = time.Second             // a report of up, until the server counts as up
+	downWait        = 700 * time.Millisecond  // from the first report of down, until the shards move
+	upWait          = time.Second             // from the first report of up, until the server counts as up
 	slowWait        = 10 * time.Second        // a straggler, until its shards move
-	fastWait        = 30 * time.Second        // a former straggler, until shards come back
+	fastWait        = 30 * time.Second        // a former straggler, until shards move back
 	reportWait      = 3 * time.Second         // a report older than this is ignored
 	removeWait      = 5 * time.Second         // a draining server that left the config, until its row is removed
 	settleWait      = 2 * time.Second         // released shards wait this long for the rest, to share a transaction
 	witnessWait     = 5 * time.Second         // an unresponsive witness, until it is replaced
-	witnessLastWait = 1500 * time.Millisecond // the same when one more loss would stop all leases
+	witnessLastWait = 1500 * time.Millisecond // the same if one more failed witness would stop all leases
 	growWait        = 3 * time.Second         // a new daemon, until it may bring the witnesses to five
 	spreadWait      = 30 * time.Second        // a new daemon, until it may improve the distribution of witnesses
 	standbyWait     = 5 * time.Second         // an unresponsive standby, until it is replaced
@@ -44,14 +44,14 @@
 
 // Balance, as shares of the mean load.
 const (
-	highStart = 0.08 // balancing starts when a server is this much above
+	highStart = 0.08 // balancing starts when a server is this much above its share
 	lowStart  = 0.15 // or a server is this much below
 	highStop  = 0.02 // balancing stops when all are less than this much above
 	lowStop   = 0.05 // and less than this much below
 	noiseGate = 2.5  // standard deviations of the measured rate that a difference must exceed
 	largeMove = 0.9  // share of the gap between two servers that one shard may close at most
 	smallMove = 0.02 // and must close at least
-	maxSlow   = 3    // at most one in so many servers is treated as a straggler
+	maxSlow   = 3    // at most one of this many servers is treated as a straggler
 )
 
 // Estimates of rates.
@@ -63,5 +63,5 @@
 // Sizes.
 const (
 	witnessCount = 5
-	homeCap      = 2 // times the even share of homes that one daemon may have for the sake of locality
+	homeCap      = 2 // times the even share of homes that one daemon may have for locality
 )
