--- a/core/place/server.go
+++ b/core/place/server.go
@@ -18,7 +18,7 @@
 	downFlipAt mono.Time // when down changes unless reports contradict
 	slowFlipAt mono.Time // when slow changes unless reports contradict
 
-	state            part.State // of the row, as last seen
+	state            part.State // state of the row, as last seen
 	known            bool       // the row has been seen
 	removeAt         mono.Time  // when the row of a draining server may be removed
 	rampFrom         mono.Time  // when shards start to move back
