--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -1,8 +1,8 @@
 // Package admit decides at the home of one backend server which work is sent to it, and when.
 //
-// The home is the only sender of work to its server, so slots, queue, cold start, drain and the memory of
-// request ids are exact here. A Server is events in, decisions out; its caller guards it with a lock and
-// carries the decisions out.
+// The home is the only sender of work to its server, so its state of slots, queue, cold start, drain and
+// request ids is exact. A Server takes events and returns decisions; its caller guards it with a lock and
+// executes the decisions.
 package admit
 
 import (
@@ -14,102 +14,102 @@
 )
 
 const (
-	// A slot stays taken for a while after our side gave an exchange up: the server is told to cancel by the
-	// closed connection, but works on until it notices, and would be overfed by a start in its place.
+	// A slot stays occupied for a while after this home abandons an exchange: the closed connection cancels it, but
+	// the server works on until it notices, and another start would overload it.
 	minGrace = 2 * time.Millisecond
 	maxGrace = 250 * time.Millisecond
 
-	// firstService is assumed for the service time before the first answer.
-	firstService = 20 * time.Millisecond
+	// initialServiceTime is assumed before the first response.
+	initialServiceTime = 20 * time.Millisecond
 
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 
-	// peersFor is how long the figures of the peers are worth comparing with.
-	peersFor = 3 * time.Second
+	// peersMaxAge is how long the latencies of the peers are valid for comparison.
+	peersMaxAge = 3 * time.Second
 )
 
-// Server is the admission to one backend server at its home.
+// Server is the admission control of one backend server at its home.
 type Server struct {
 	options       Options
 	next          Ticket
 	inFlight      []entry
-	givenUp       []entry     // exchanges given up that the server may still work on
-	held          []mono.Time // slots of exchanges given up, with when each counts as free again
+	abandoned     []entry     // abandoned exchanges that the server may still work on
+	held          []mono.Time // for each slot of an abandoned exchange, when it is free again
 	queue         queue
-	memory        memory
+	requestIDs    idTable
 	ramp          ramp
 	speed         speed
 	health        health
 	rate          rate
 	draining      bool
-	errors        int // failed answers in a row
+	errors        int // consecutive failed responses
 	incarnation   ident.Incarnation
-	incarnationAt mono.Time // when the incarnation was learnt
-	suspect       bool      // it may have restarted since; one slot until it has answered
+	incarnationAt mono.Time // when the incarnation was first observed
+	suspect       bool      // the server may have restarted; limited to one exchange until it has responded
 	suspectAt     mono.Time
 	peers         []time.Duration
 	peersAt       mono.Time
-	ages          []time.Duration // scratch
+	ages          []time.Duration // reused buffer
 }
 
-// New starts the admission to a server that has just been taken over: it may be cold, so the ramp starts.
+// New returns the state for a server that this home has just taken over: it may be cold, so the ramp starts.
 func New(now mono.Time, o Options) *Server {
 	if o.QueueLen <= 0 {
 		o.QueueLen = defaultQueueLen
 	}
-	if o.Memory <= 0 {
-		o.Memory = defaultMemory
+	if o.MaxRequestIDs <= 0 {
+		o.MaxRequestIDs = defaultMemory
 	}
 	o.Slots = max(o.Slots, 1)
 	return &Server{
-		options: o,
-		queue:   queue{limit: o.QueueLen},
-		memory:  memory{limit: o.Memory, ids: map[ident.Request]mono.Time{}},
-		ramp:    newRamp(now, o.Slots),
-		speed:   speed{since: mono.Never},
-		health:  newHealth(now),
-		rate:    rate{at: now},
+		options:    o,
+		queue:      queue{limit: o.QueueLen},
+		requestIDs: idTable{limit: o.MaxRequestIDs, ids: map[ident.Request]mono.Time{}},
+		ramp:       newRamp(now, o.Slots),
+		speed:      speed{since: mono.Never},
+		health:     newHealth(now),
+		rate:       rate{at: now},
 	}
 }
 
-// TakeOver says that this home may send again after another one may have, under a new epoch. What it knew of
-// the server may have passed since, so the ramp starts again, or goes on from what the last home had proved.
-func (s *Server) TakeOver(now mono.Time, p Proven) {
+// TakeOver records that this home may send again, under a new epoch, after another home may have. Its state of
+// the server may be outdated, so the ramp restarts, or continues from the slots proven at the other home.
+func (s *Server) TakeOver(now mono.Time, p ProvenSlots) {
 	s.options.Proven = p
 	s.incarnation, s.incarnationAt = 0, now
 	s.ramp = newRamp(now, s.options.Slots)
 	s.speed.forget()
-	s.health = newHealth(now) // with a probe at once
+	s.health = newHealth(now) // a probe is due at once
 }
 
-// Arrive decides about new work; it also returns the decisions that this changes for queued work.
+// Arrive decides about new work; it also returns the resulting decisions about queued work.
 func (s *Server) Arrive(now mono.Time, w Work) (Decision, []Decision) {
 	s.next++
 	e := entry{Work: w, ticket: s.next}
-	if s.remembers(&e) {
-		if pending, ok := s.memory.seen(now, w.ID); ok {
+	if s.needsDedup(&e) {
+		if pending, ok := s.requestIDs.seen(now, w.ID); ok {
 			return Duplicate{Ticket: e.ticket, Pending: pending}, nil
 		}
 	}
-	if r := s.closed(now, &e); r != "" {
+	if r := s.refusalReason(now, &e); r != "" {
 		return s.refusal(now, &e, r), nil
 	}
-	if s.remembers(&e) && !s.memory.add(w.ID) {
+	if s.needsDedup(&e) && !s.requestIDs.add(w.ID) {
 		return s.refusal(now, &e, ReasonMemoryFull), nil
 	}
-	if len(s.queue.l) == 0 && s.free(now) {
+	if len(s.queue.l) == 0 && s.canStart(now) {
 		return s.start(now, e), nil
 	}
 	return s.enqueue(now, e)
 }
 
-// remembers reports whether a second copy of the work would do harm.
-func (s *Server) remembers(e *entry) bool {
+// needsDedup reports whether a second copy of the work would do harm.
+func (s *Server) needsDedup(e *entry) bool {
 	return !e.Idempotent && e.ID != ""
 }
 
-func (s *Server) closed(now mono.Time, e *entry) Reason {
+func (s *Server) refusalReason(now mono.Time, e *entry) Reason {
 	switch {
 	case s.draining:
 		return ReasonDraining
@@ -122,8 +122,8 @@
 }
 
 func (s *Server) enqueue(now mono.Time, e entry) (Decision, []Decision) {
-	// Work that can't start in time is refused now: its caller may still go elsewhere, and its place in the
-	// queue serves work that can.
+	// Work that can't start in time is refused now: its caller may still use another server, and its place in the
+	// queue is left for work that can.
 	if !e.NeverDropped && s.speed.n > 0 && e.Deadline.Before(now.Add(s.wait(s.queue.ahead(&e)))) {
 		return s.refuse(now, &e, ReasonTooLate), nil
 	}
@@ -139,7 +139,7 @@
 	return s.takeDecision(e.ticket, l)
 }
 
-// takeDecision takes the decision about the ticket out of the list; without one, the work is queued.
+// takeDecision removes the ticket's decision from the list; without one, the work is queued.
 func (s *Server) takeDecision(t Ticket, l []Decision) (Decision, []Decision) {
 	for i, d := range l {
 		if TicketOf(d) == t {
@@ -164,15 +164,15 @@
 	return 0
 }
 
-// free reports whether a start is allowed now. It is the one check against feeding a server more than its
+// canStart reports whether a start is allowed now. It is the only check that keeps a server within its
 // open slots.
-func (s *Server) free(now mono.Time) bool {
-	s.dropFreed(now)
-	return !s.draining && !s.health.down && !now.Before(s.ramp.notFrom) &&
+func (s *Server) canStart(now mono.Time) bool {
+	s.expireHeld(now)
+	return !s.draining && !s.health.down && !now.Before(s.ramp.nextStart) &&
 		len(s.inFlight)+len(s.held) < s.limit()
 }
 
-// limit returns how many exchanges may be under way.
+// limit returns how many exchanges may be in flight.
 func (s *Server) limit() int {
 	if s.suspect {
 		return 1
@@ -180,36 +180,36 @@
 	return s.ramp.open()
 }
 
-// Suspect says that a connection was lost, so that the server may have restarted and be cold.
+// SuspectRestart records that a connection was lost, so that the server may have restarted and be cold.
 //
-// A single lost connection is too little to start the ramp again, but what waits in the queue would go to a cold server
-// all at once, which falls over before any answer tells its new incarnation. One exchange at a time until one
-// that was started after the loss has been answered is what every server carries, and lasts for one answer.
-func (s *Server) Suspect(now mono.Time) {
+// A single lost connection is too little evidence to restart the ramp, but the queued work would go to a cold server
+// all at once, and it would collapse before a response reports its new incarnation. Every server carries one exchange at
+// a time; this limit ends with the first response to an exchange that was started after the loss.
+func (s *Server) SuspectRestart(now mono.Time) {
 	s.suspect, s.suspectAt = true, now
 }
 
-// MaySend reports whether started work may go out now; ask right before its first byte. Work that was started just
-// before the suspicion came up waits for its turn too: of several, only the one started first goes out.
+// MaySend reports whether started work may be sent now; call it right before the first byte. It also holds back work
+// that was started just before SuspectRestart: of several, only the one started first is sent.
 func (s *Server) MaySend(t Ticket) bool {
 	return !s.suspect || len(s.inFlight) > 0 && s.inFlight[0].ticket == t
 }
 
-// trust ends the suspicion by an answer to what was asked at the time.
-func (s *Server) trust(asked mono.Time) {
+// clearSuspicion ends the suspicion if the server responded to a request or probe sent after it arose.
+func (s *Server) clearSuspicion(asked mono.Time) {
 	if !asked.Before(s.suspectAt) {
 		s.suspect = false
 	}
 }
 
-// dropFreed forgets the held slots that count as free again.
-func (s *Server) dropFreed(now mono.Time) {
+// expireHeld removes the held slots that are free again.
+func (s *Server) expireHeld(now mono.Time) {
 	s.held = slices.DeleteFunc(s.held, func(t mono.Time) bool { return !now.Before(t) })
 }
 
-// dropEnded forgets the exchanges given up whose deadline has passed: the server was told it, and has ended them.
-func (s *Server) dropEnded(now mono.Time) {
-	s.givenUp = slices.DeleteFunc(s.givenUp, func(e entry) bool { return !now.Before(e.Deadline) })
+// expireAbandoned removes abandoned exchanges past their deadline, which the server was sent: it has ended them.
+func (s *Server) expireAbandoned(now mono.Time) {
+	s.abandoned = slices.DeleteFunc(s.abandoned, func(e entry) bool { return !now.Before(e.Deadline) })
 }
 
 func (s *Server) start(now mono.Time, e entry) Decision {
@@ -219,7 +219,7 @@
 	return Start{Ticket: e.ticket}
 }
 
-// dispatch starts queued work while there is room, and refuses what has expired.
+// dispatch starts queued work while there is capacity, and refuses expired work.
 func (s *Server) dispatch(now mono.Time) []Decision {
 	var l []Decision
 	if s.health.down {
@@ -229,13 +229,13 @@
 		expired := s.queue.remove(func(e *entry) bool { return !now.Before(e.Deadline) })
 		l = s.refuseAll(now, l, expired, ReasonExpired)
 	}
-	for len(s.queue.l) > 0 && s.free(now) {
+	for len(s.queue.l) > 0 && s.canStart(now) {
 		l = append(l, s.start(now, s.queue.pop()))
 	}
 	return l
 }
 
-// Done takes in how the exchange of a started ticket ended.
+// Done records how the exchange of a started ticket ended.
 func (s *Server) Done(now mono.Time, t Ticket, r Result) []Decision {
 	i := slices.IndexFunc(s.inFlight, func(e entry) bool { return e.ticket == t })
 	if i < 0 {
@@ -243,21 +243,21 @@
 	}
 	e := s.inFlight[i]
 	s.inFlight = slices.Delete(s.inFlight, i, i+1)
-	if s.remembers(&e) {
-		s.memory.end(now, e.ID, mayHaveRun(r.End))
+	if s.needsDedup(&e) {
+		s.requestIDs.end(now, e.ID, mayHaveRun(r.End))
 	}
 	if mayStillRun(r.End) && now.Before(e.Deadline) {
-		s.dropEnded(now)
-		s.givenUp = append(s.givenUp, e)
+		s.expireAbandoned(now)
+		s.abandoned = append(s.abandoned, e)
 	}
 	s.observe(now, &e, r)
 	return s.dispatch(now)
 }
 
-// mayHaveRun reports whether the server may have run the request, or may yet.
+// mayHaveRun reports whether the server may have run the request, or may still run it.
 func mayHaveRun(e End) bool {
 	switch e {
-	case EndRefused, EndNoDial, EndNoConn:
+	case EndRefused, EndDialFailed, EndNoConnFree:
 		return false
 	}
 	return true
@@ -266,7 +266,7 @@
 // mayStillRun reports whether the server may still work on the request.
 func mayStillRun(e End) bool {
 	switch e {
-	case EndReset, EndTimeout, EndSilent, EndCancelled:
+	case EndReset, EndTimeout, EndUnresponsive, EndCancelled:
 		return true
 	}
 	return false
@@ -276,9 +276,9 @@
 	d := now.Sub(e.started)
 	switch r.End {
 	case EndAnswered, EndFailed, EndOverloaded, EndRefused:
-		s.trust(e.started)
-	case EndNoDial, EndReset:
-		s.Suspect(now)
+		s.clearSuspicion(e.started)
+	case EndDialFailed, EndReset:
+		s.SuspectRestart(now)
 	}
 	switch r.End {
 	case EndAnswered:
@@ -292,27 +292,27 @@
 	case EndOverloaded, EndRefused:
 		s.health.answered(now)
 		s.refused(now)
-	case EndNoDial:
+	case EndDialFailed:
 		s.refused(now)
 		s.lost(now, e, r.End)
 	case EndReset:
-		s.sampleLost(e, d)
+		s.sampleUnfinished(e, d)
 		s.refused(now)
 		s.lost(now, e, r.End)
-	case EndTimeout, EndSilent:
-		s.hold(now)
-		s.sampleLost(e, d)
+	case EndTimeout, EndUnresponsive:
+		s.holdSlot(now)
+		s.sampleUnfinished(e, d)
 		s.lost(now, e, r.End)
 	case EndCancelled:
-		s.hold(now)
-		s.sampleLost(e, d)
+		s.holdSlot(now)
+		s.sampleUnfinished(e, d)
 	}
 	s.observeIncarnation(now, e.started, r.Incarnation)
 }
 
-// failed takes in an answer of a server that is alive but broken. One may be the request's own fault, and
-// neither its speed nor its success says anything; several in a row are the sign of a server that fell over.
-// It fails fast then, and would draw all the work if it looked fast and free.
+// failed records a failed response of a server that is alive. A single one may be caused by the request, and
+// neither its time nor its arrival is evidence of speed or success. Several in a row indicate a collapsed server,
+// which fails fast and would attract all the work if it counted as fast and free.
 func (s *Server) failed(now mono.Time) {
 	s.health.answered(now)
 	s.errors++
@@ -328,7 +328,7 @@
 	}
 }
 
-// restart treats the server as cold. How fast it was before says nothing about it now.
+// restart treats the server as cold, and discards its earlier service times.
 func (s *Server) restart(now mono.Time) {
 	s.ramp.restart(now)
 	s.speed.forget()
@@ -340,29 +340,29 @@
 	}
 }
 
-// sampleLost takes in the time of an exchange that got no answer, which is a lower bound. Hedges cancel the
-// slow exchanges of a straggler first, so without it a straggler would show only its fast ones.
-func (s *Server) sampleLost(e *entry, d time.Duration) {
+// sampleUnfinished records the time of an exchange without a response, which is a lower bound. Hedges cancel the
+// slow exchanges of a straggler first, so without it only the fast ones would count.
+func (s *Server) sampleUnfinished(e *entry, d time.Duration) {
 	if d > s.speed.median(nil) && s.speed.n > 0 {
 		s.sample(e, d)
 	}
 }
 
 func (s *Server) lost(now mono.Time, e *entry, end End) {
-	if end == EndTimeout && now.Sub(e.started) < minSilence {
-		return // the caller left too little time; says nothing about the server
+	if end == EndTimeout && now.Sub(e.started) < minTimeout {
+		return // the caller left too little time; no evidence about the server
 	}
 	if s.health.lost(now, end) {
 		s.restart(now)
 	}
 }
 
-func (s *Server) hold(now mono.Time) {
+func (s *Server) holdSlot(now mono.Time) {
 	s.held = append(s.held, now.Add(min(max(s.service(), minGrace), maxGrace)))
 }
 
-// observeIncarnation takes in the incarnation that an answer or a probe told. An exchange that was started before the
-// present incarnation was learnt may end late and tell an older one.
+// observeIncarnation records the incarnation from a response or a probe. It ignores one requested before the
+// current incarnation was first observed, since a late response may report an older one.
 func (s *Server) observeIncarnation(now, asked mono.Time, i ident.Incarnation) {
 	if i == 0 || i == s.incarnation || asked.Before(s.incarnationAt) {
 		return
@@ -376,7 +376,7 @@
 	s.incarnation, s.incarnationAt = i, now
 }
 
-// Tick takes in that time has passed; call it at NextTick.
+// Tick expires and starts queued work as time passes; call it at NextTick.
 func (s *Server) Tick(now mono.Time) []Decision {
 	s.judge(now)
 	return s.dispatch(now)
@@ -384,7 +384,7 @@
 
 func all(*entry) bool { return true }
 
-// NextTick returns when Tick has something to do for queued work, or Never.
+// NextTick returns when Tick is due for queued work, or Never.
 func (s *Server) NextTick() mono.Time {
 	if len(s.queue.l) == 0 {
 		return mono.Never
@@ -394,27 +394,27 @@
 		return t
 	}
 	if len(s.inFlight) < s.limit() {
-		t = min(t, max(s.ramp.notFrom, s.freeAt()))
+		t = min(t, max(s.ramp.nextStart, s.freeAt()))
 	}
 	return t
 }
 
-// freeAt returns when the next held slot is free; only then can a tick help when held slots are in the way.
+// freeAt returns when the next held slot is free: an earlier tick has no effect while held slots fill the limit.
 func (s *Server) freeAt() mono.Time {
 	if len(s.inFlight)+len(s.held) < s.limit() {
-		return s.ramp.notFrom
+		return s.ramp.nextStart
 	}
 	return slices.Min(s.held)
 }
 
-// Cancel takes back queued work; for work that was started, cancel the exchange and report it by Done.
+// Cancel removes queued work; for started work, cancel the exchange and report it by Done.
 func (s *Server) Cancel(now mono.Time, t Ticket) []Decision {
 	out := s.queue.remove(func(e *entry) bool { return e.ticket == t })
 	return s.refuseAll(now, nil, out, ReasonCancelled)
 }
 
-// Drain stops new work, or lets it come back; what is in flight ends by itself. Queued work is handed back
-// as not run, so that it can go elsewhere at once. A return ramps up, since caches may be cold.
+// Drain stops or resumes new work; exchanges in flight are left to end. Queued work is refused as not run, so
+// that it can go to another server at once. Resuming restarts the ramp, since caches may be cold.
 func (s *Server) Drain(now mono.Time, on bool) []Decision {
 	if on == s.draining {
 		return nil
@@ -428,20 +428,20 @@
 	return s.refuseAll(now, nil, s.queue.remove(all), ReasonDraining)
 }
 
-// Release hands back the queued work of shards that the server no longer owns. InFlight tells when the
-// rest of it has ended.
+// Release refuses the queued work of shards that the server no longer owns. InFlight reports when the
+// started work has ended.
 func (s *Server) Release(now mono.Time, owns func(ident.Shard) bool) []Decision {
 	out := s.queue.remove(func(e *entry) bool { return !owns(e.Shard) })
 	return s.refuseAll(now, nil, out, ReasonMoved)
 }
 
-// InFlight returns how much started work of the shard the server may still work on. An exchange that was
-// given up counts until its deadline, which the server was told: were the shard's next owner to start
-// before, the key would have two.
+// InFlight returns how many exchanges of the shard the server may still work on. An abandoned exchange
+// counts until its deadline, which the server was sent: if the shard's next owner started before, the key
+// would have two owners.
 func (s *Server) InFlight(now mono.Time, sh ident.Shard) int {
-	s.dropEnded(now)
+	s.expireAbandoned(now)
 	n := 0
-	for _, l := range [][]entry{s.inFlight, s.givenUp} {
+	for _, l := range [][]entry{s.inFlight, s.abandoned} {
 		for i := range l {
 			if l[i].Shard == sh {
 				n++
@@ -458,10 +458,10 @@
 	return l
 }
 
-// refuse refuses work that was not started, and forgets its id: it may come again.
+// refuse refuses work that was not started, and removes its id so that it may be sent again.
 func (s *Server) refuse(now mono.Time, e *entry, r Reason) Decision {
-	if s.remembers(e) {
-		s.memory.end(now, e.ID, false)
+	if s.needsDedup(e) {
+		s.requestIDs.end(now, e.ID, false)
 	}
 	return s.refusal(now, e, r)
 }
@@ -485,5 +485,5 @@
 	if m := s.speed.median(nil); m > 0 {
 		return m
 	}
-	return firstService
+	return initialServiceTime
 }
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -17,7 +17,7 @@
 	sec = mono.Time(time.Second)
 )
 
-// warm returns a server whose ramp is through, each answer having taken the service time.
+// warm returns a server whose ramp is complete, with samples of the service time.
 func warm(slots int, service time.Duration) (*Server, mono.Time) {
 	s, now := New(0, Options{Slots: slots}), mono.Time(0)
 	for range samples {
@@ -31,7 +31,7 @@
 	return Work{ID: ident.Request(fmt.Sprint(i)), Deadline: 1000 * sec, Idempotent: true}
 }
 
-// arrive hands in work and returns the decision about it, which must change no other.
+// arrive submits work and returns the decision about it; it fails on decisions about other work.
 func arrive(t *testing.T, s *Server, now mono.Time, w Work) Decision {
 	d, l := s.Arrive(now, w)
 	require.Empty(t, l)
@@ -71,7 +71,7 @@
 		order = append(order, started[2])
 	}
 	require.Equal(t, []Ticket{queued[4], queued[1], queued[3], queued[0], queued[2]}, order)
-	require.Nil(t, s.Done(now, 9999, Result{}), "an unknown ticket changes nothing")
+	require.Nil(t, s.Done(now, 9999, Result{}), "an unknown ticket has no effect")
 }
 
 func TestRefusals(t *testing.T) {
@@ -86,7 +86,7 @@
 	}
 	d := arrive(t, s, now, work(9))
 	require.Equal(t, ReasonQueueFull, reasonOf(t, d))
-	require.Equal(t, now.Add(40*time.Millisecond), d.(Refuse).RetryAfter, "after what is ahead and itself")
+	require.Equal(t, now.Add(40*time.Millisecond), d.(Refuse).RetryAfter, "wait for the queue ahead and itself")
 
 	late := work(1)
 	late.Deadline = now.Add(25 * time.Millisecond)
@@ -105,8 +105,8 @@
 	require.Empty(t, s.Cancel(now, TicketOf(d)))
 }
 
-// An archive query waits in a full queue. Managers' work of higher priority comes; it takes the place of
-// other work, or is refused when there is only work that is never dropped.
+// An archive query waits in a full queue when managers' work of higher priority arrives. That work replaces
+// other work, or is refused if the queue holds only work that is never evicted.
 func TestNeverDroppedIsNotEvicted(t *testing.T) {
 	s, now := warm(1, 10*time.Millisecond)
 	s.queue.limit = 2
@@ -128,7 +128,7 @@
 	require.Equal(t, TicketOf(kept), s.queue.l[0].ticket)
 }
 
-func TestQueuedExpire(t *testing.T) {
+func TestQueuedWorkExpires(t *testing.T) {
 	s, now := warm(1, 10*time.Millisecond)
 	first := startOf(t, arrive(t, s, now, work(0)))
 	w := work(1)
@@ -143,9 +143,9 @@
 	require.Empty(t, s.Done(60*ms, first, Result{}))
 }
 
-// The caller of the copy is not told "not run". A shift swap is sent, and a copy of the request arrives
-// while it is pending or after it ended, say from an entry that lost the first answer. Run again, the swap
-// would be registered twice; called "not run", the manager would do it again by hand.
+// A shift swap is sent, and a copy of the request arrives while it is pending or after it ended, for example from
+// an entry daemon that lost the first response. If the copy ran, the swap would be registered twice; if its caller
+// received "not run", the manager would repeat it by hand.
 func TestDuplicateID(t *testing.T) {
 	s, now := warm(2, 10*time.Millisecond)
 	swap := Work{ID: "swap", Deadline: 1000 * sec}
@@ -154,17 +154,17 @@
 	s.Done(now, first, Result{End: EndTimeout})
 	now = now.Add(time.Minute)
 	require.Equal(t, Duplicate{Ticket: 3}, arrive(t, s, now, swap))
-	now = now.Add(rememberFor)
+	now = now.Add(dedupTTL)
 	startOf(t, arrive(t, s, now, swap))
 
-	for _, end := range []End{EndRefused, EndNoDial, EndNoConn} {
+	for _, end := range []End{EndRefused, EndDialFailed, EndNoConnFree} {
 		s, now := warm(2, 10*time.Millisecond)
 		s.Done(now, startOf(t, arrive(t, s, now, swap)), Result{End: end})
-		startOf(t, arrive(t, s, now, swap)) // certainly not run: it may come again
+		startOf(t, arrive(t, s, now, swap)) // did not run: it may be sent again
 	}
 }
 
-func TestRefusedIDMayComeAgain(t *testing.T) {
+func TestRefusedIDMayBeSentAgain(t *testing.T) {
 	s, now := warm(1, 10*time.Millisecond)
 	first := startOf(t, arrive(t, s, now, work(0)))
 	swap := Work{ID: "swap", Deadline: now.Add(40 * time.Millisecond)}
@@ -176,10 +176,10 @@
 	require.Len(t, s.Done(60*ms, first, Result{}), 1)
 }
 
-// A full memory refuses new work rather than forget an old id, whose copy could then run.
-func TestMemoryFull(t *testing.T) {
+// A full request id table refuses new work: if it evicted an old id, a copy of that request could run.
+func TestRequestIDTableFull(t *testing.T) {
 	s, now := warm(3, 10*time.Millisecond)
-	s.memory.limit = 2
+	s.requestIDs.limit = 2
 	for i := range 2 {
 		w := work(i)
 		w.Idempotent = false
@@ -189,8 +189,8 @@
 	w.Idempotent = false
 	require.Equal(t, ReasonMemoryFull, reasonOf(t, arrive(t, s, now, w)))
 	startOf(t, arrive(t, s, now, work(3)))
-	startOf(t, arrive(t, s, now.Add(rememberFor), w))
-	require.Len(t, s.memory.ids, 1)
+	startOf(t, arrive(t, s, now.Add(dedupTTL), w))
+	require.Len(t, s.requestIDs.ids, 1)
 }
 
 func TestDrain(t *testing.T) {
@@ -202,16 +202,16 @@
 	require.Equal(t, TicketOf(queued), TicketOf(l[0]))
 	require.Empty(t, s.Drain(now, true))
 	require.Equal(t, ReasonDraining, reasonOf(t, arrive(t, s, now, work(2))))
-	require.Equal(t, 1, s.Report(now).InFlight, "what is in flight ends by itself")
+	require.Equal(t, 1, s.Report(now).InFlight, "exchanges in flight are left to end")
 	require.Empty(t, s.Done(now, first, Result{}))
 	require.True(t, s.Report(now).Draining)
 	s.Drain(now, false)
 	startOf(t, arrive(t, s, now, work(3)))
-	require.Zero(t, s.ramp.at, "a return ramps up")
+	require.Zero(t, s.ramp.at, "resuming restarts the ramp")
 }
 
-// The next owner of a shard asks whether the old one has ended. An exchange timed out on our side, but the
-// server was given a deadline and may work until then: saying "ended" would let two owners run one key.
+// The next owner of a shard asks whether work at the old one has ended. An exchange timed out at this home, but the
+// server may work on it until the deadline it was sent: "ended" would let two owners run one key.
 func TestShardInFlight(t *testing.T) {
 	s, now := warm(2, 10*time.Millisecond)
 	w := Work{Shard: 4, Deadline: sec, Idempotent: true}
@@ -228,10 +228,10 @@
 	require.Zero(t, s.InFlight(sec, 4))
 }
 
-// An exchange that was given up frees its slot only after a while: the server works on until it sees the
-// connection closed, and a start in its place would be one more than its slots.
-func TestGivenUpKeepsItsSlot(t *testing.T) {
-	for _, end := range []End{EndCancelled, EndTimeout, EndSilent} {
+// An abandoned exchange frees its slot only after a while: the server works on until it sees the closed
+// connection, and another start would exceed its slots.
+func TestAbandonedKeepsItsSlot(t *testing.T) {
+	for _, end := range []End{EndCancelled, EndTimeout, EndUnresponsive} {
 		s, now := warm(1, 40*time.Millisecond)
 		a := startOf(t, arrive(t, s, now, work(0)))
 		require.IsType(t, Queued{}, arrive(t, s, now, work(1)))
@@ -242,7 +242,7 @@
 	}
 }
 
-// steady sends one request each period, which takes the service time, and returns the starts.
+// steady sends one request per period, each with the given service time, and returns the number of starts.
 func steady(t *testing.T, s *Server, from, to mono.Time, period, service time.Duration) int {
 	n := 0
 	for now := from; now < to; now = now.Add(period) {
@@ -257,26 +257,26 @@
 	return n
 }
 
-// A server just taken over has one slot, and even that is paced: it may be cold, and one busy slot can be
-// more than it carries.
+// A server that was just taken over has one slot, and even that is rate-limited: it may be cold, and one busy slot
+// can exceed its capacity.
 func TestFirstStepsArePaced(t *testing.T) {
 	s := New(0, Options{Slots: 3})
 	require.LessOrEqual(t, steady(t, s, 0, 400*ms, 12*time.Millisecond, 10*time.Millisecond), 8, "of 34")
 	require.Equal(t, 1, s.ramp.open())
 }
 
-// Time alone opens no slots: at one request a second nothing has shown after a minute that the server
-// carries more, and the next morning's rush would find it cold with all slots open.
+// Time alone opens no slots: one request per second for a minute is no evidence that the server carries
+// more, and the next morning's peak would reach a cold server with all slots open.
 func TestTimeAloneOpensNoSlot(t *testing.T) {
 	s := New(0, Options{Slots: 3})
 	require.Equal(t, 40, steady(t, s, 0, 40*sec, time.Second, 10*time.Millisecond))
 	require.Equal(t, 1, s.Report(40*sec).OpenSlots)
 	steady(t, s, 40*sec, 60*sec, time.Second, 10*time.Millisecond)
-	require.Equal(t, 2, s.Report(60*sec).OpenSlots, "after 44 answers")
+	require.Equal(t, 2, s.Report(60*sec).OpenSlots, "after 44 responses")
 }
 
-// Answers to work of an earlier step don't prove the present one.
-func TestOldAnswersProveNothing(t *testing.T) {
+// Responses to work of an earlier step are no evidence for the current step.
+func TestEarlierResponsesDontCount(t *testing.T) {
 	r := newRamp(0, 3)
 	r.jump(sec, 2)
 	for range 10 * slotAnswers {
@@ -289,7 +289,7 @@
 	require.Equal(t, 3, r.open())
 }
 
-// One refusal in nine is noise, more costs a slot, a burst starts the ramp again.
+// One refusal in nine is noise, more costs a slot, a burst restarts the ramp.
 func TestRefusalsLowerTheRamp(t *testing.T) {
 	r := newRamp(0, 3)
 	r.jump(0, 3)
--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -8,7 +8,7 @@
 	"heatherrouter/core/mono"
 )
 
-// BenchmarkArriveDone is one request through a server with room, as a home does it for each.
+// BenchmarkArriveDone is one request through a server with free slots, as a home handles each.
 func BenchmarkArriveDone(b *testing.B) {
 	for _, x := range []struct {
 		name       string
--- a/core/admit/cold_test.go
+++ b/core/admit/cold_test.go
@@ -13,15 +13,15 @@
 	"heatherrouter/core/mono"
 )
 
-// coldServer is slow after a start and carries one request more for each third of its warm-up. Given more
-// than it carries, it falls over: it fails everything for a while and is cold again.
+// coldServer is slow after a start and carries one request more for each third of its warm-up. Under more load
+// it collapses: it fails everything for a while and is cold again.
 type coldServer struct {
 	slots, warmUp int
-	warmTime      time.Duration // instead of warmUp, where not zero
+	warmTime      time.Duration // used instead of warmUp unless zero
 	since         mono.Time
 	answered      int
 	failsUntil    mono.Time
-	falls         int
+	collapses     int
 }
 
 func (c *coldServer) warmth(now mono.Time) float64 {
@@ -31,7 +31,7 @@
 	return min(float64(c.answered)/float64(c.warmUp), 1)
 }
 
-func (c *coldServer) fall(now mono.Time) {
+func (c *coldServer) collapse(now mono.Time) {
 	c.answered, c.since = 0, now
 	c.failsUntil = now.Add(300 * time.Millisecond)
 }
@@ -48,15 +48,15 @@
 	}
 	w := c.warmth(now)
 	if inside > 1+int(w*float64(c.slots)) {
-		c.falls++
-		c.fall(now)
+		c.collapses++
+		c.collapse(now)
 		return exchange{t, now.Add(time.Millisecond), EndFailed}
 	}
 	return exchange{t, now.Add(time.Duration(float64(service) * (3 - 2*w))), EndAnswered}
 }
 
-// overfeed sends ten times what the server carries for a while and returns how much was answered well.
-func overfeed(s *Server, c *coldServer, from, to mono.Time, service time.Duration, seed uint64) (answered int, full mono.Time) {
+// overload sends ten times the server's capacity from one time to another and returns the number of responses.
+func overload(s *Server, c *coldServer, from, to mono.Time, service time.Duration, seed uint64) (answered int, full mono.Time) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var busy []exchange
 	next := from
@@ -100,16 +100,16 @@
 	return answered, full
 }
 
-// Callers see a server come up without a fall. It starts cold under ten times its load, and its slots open
-// one by one; fed at once, it would fall over, restart cold and fall again, for ever.
-func TestColdServerNeverOverfed(t *testing.T) {
+// A server starts cold under ten times its capacity and must come up without a collapse. With all slots open at
+// once, it would collapse, restart cold and collapse again, without end.
+func TestColdServerNeverOverloaded(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		cold  coldServer
-		falls int // before the ramp has learnt how slowly this one warms up
-		end   mono.Time
-		least int // answers
-		seeds uint64
+		name      string
+		cold      coldServer
+		collapses int // before the backoff matches the warm-up time
+		end       mono.Time
+		least     int // responses
+		seeds     uint64
 	}{
 		{"30 requests", coldServer{slots: 3, warmUp: 30}, 0, 10 * sec, 2000, 3},
 		{"120 requests", coldServer{slots: 3, warmUp: 120}, 0, 10 * sec, 2000, 3},
@@ -120,36 +120,36 @@
 		t.Run(x.name, func(t *testing.T) {
 			for seed := range x.seeds {
 				s, c := New(0, Options{Slots: 3}), x.cold
-				n, full := overfeed(s, &c, 0, x.end, 10*time.Millisecond, seed)
-				t.Logf("seed %d: falls %d, answered %d in %v, all slots open after %v",
-					seed, c.falls, n, time.Duration(x.end), time.Duration(full))
-				require.LessOrEqual(t, c.falls, x.falls)
-				require.Greater(t, n, x.least, "and all slots serve in the end")
+				n, full := overload(s, &c, 0, x.end, 10*time.Millisecond, seed)
+				t.Logf("seed %d: collapses %d, answered %d in %v, all slots open after %v",
+					seed, c.collapses, n, time.Duration(x.end), time.Duration(full))
+				require.LessOrEqual(t, c.collapses, x.collapses)
+				require.Greater(t, n, x.least, "all slots must be in use in the end")
 			}
 		})
 	}
 }
 
-// Callers of a server that returns cold without warning, and without a new incarnation, see a few failed
-// requests and no second fall: the burst of failures starts the ramp again.
+// A server restarts cold without reporting a new incarnation. The burst of failures restarts the ramp, so that
+// callers see a few failed requests and no second collapse.
 func TestUnannouncedColdRestart(t *testing.T) {
 	for seed := range uint64(5) {
 		s, c := New(0, Options{Slots: 3}), coldServer{slots: 3, warmUp: 60}
-		overfeed(s, &c, 0, 10*sec, 10*time.Millisecond, seed)
-		require.Zero(t, c.falls)
+		overload(s, &c, 0, 10*sec, 10*time.Millisecond, seed)
+		require.Zero(t, c.collapses)
 		require.True(t, s.ramp.full())
-		c.fall(10 * sec)
-		n, _ := overfeed(s, &c, 10*sec, 30*sec, 10*time.Millisecond, seed)
-		require.LessOrEqual(t, c.falls, 1, "seed %d", seed)
+		c.collapse(10 * sec)
+		n, _ := overload(s, &c, 10*sec, 30*sec, 10*time.Millisecond, seed)
+		require.LessOrEqual(t, c.collapses, 1, "seed %d", seed)
 		require.Greater(t, n, 4000)
 	}
 }
 
-// The server restarts while requests wait at its home. The home sees one lost connection, which is too little to start the
-// ramp again; were it to send to all open slots at once, the cold server would fall over before its first answer
-// tells the new incarnation. One request goes out, and its answer decides: the ramp starts anew, or all slots are back.
+// The server restarts while requests wait at its home. The home sees one lost connection, too little evidence to restart
+// the ramp, but a cold server would collapse under all open slots before a response reports its new incarnation. So one
+// request is sent, and its response decides: the ramp restarts, or all slots are used again.
 func TestLostConnectionHoldsToOneRequest(t *testing.T) {
-	for life, more := range map[ident.Incarnation]int{1: 3, 2: 1} {
+	for incarnation, more := range map[ident.Incarnation]int{1: 3, 2: 1} {
 		s, now := warm(3, 10*time.Millisecond)
 		s.observeIncarnation(now, now, 1)
 		var l []Ticket
@@ -157,11 +157,11 @@
 			l = append(l, TicketOf(arrive(t, s, now, work(i))))
 		}
 		now = now.Add(time.Millisecond)
-		require.Empty(t, s.Done(now, l[0], Result{End: EndReset}), "two are still under way")
-		require.Empty(t, s.Done(now, l[1], Result{End: EndAnswered, Incarnation: 1}), "its answer is from before")
+		require.Empty(t, s.Done(now, l[0], Result{End: EndReset}), "two are still in flight")
+		require.Empty(t, s.Done(now, l[1], Result{End: EndAnswered, Incarnation: 1}), "sent before the loss")
 		next := s.Done(now, l[2], Result{End: EndAnswered, Incarnation: 1})
 		require.Len(t, next, 1)
 		now = now.Add(time.Millisecond)
-		require.Len(t, s.Done(now, startOf(t, next[0]), Result{End: EndAnswered, Incarnation: life}), more, "life %d", life)
+		require.Len(t, s.Done(now, startOf(t, next[0]), Result{End: EndAnswered, Incarnation: incarnation}), more, "incarnation %d", incarnation)
 	}
 }
--- a/core/admit/health.go
+++ b/core/admit/health.go
@@ -8,65 +8,65 @@
 )
 
 const (
-	// probeEvery is the silence after which a probe is due.
-	probeEvery = 400 * time.Millisecond
+	// probeInterval is the time without a response after which a probe is due.
+	probeInterval = 400 * time.Millisecond
 
-	// A server is down after this many losses in a row without any answer between them.
-	downNoDials = 2
-	downLosses  = 4
-	downProbes  = 2
+	// A server is down after this many consecutive losses without a response between them.
+	downDialFailures = 2
+	downLosses       = 4
+	downProbes       = 2
 
-	// minSilence is the least time an exchange must have had for its timeout to count.
-	minSilence = 100 * time.Millisecond
+	// minTimeout is the shortest duration of an exchange whose timeout counts as a loss.
+	minTimeout = 100 * time.Millisecond
 
 	minProbeWait = 250 * time.Millisecond
 	maxProbeWait = time.Second
 )
 
-// health finds out whether the server is down, from exchanges and probes of our own.
+// health detects from this home's exchanges and probes whether the server is down.
 type health struct {
-	down      bool
-	noDials   int // in a row
-	losses    int // in a row, without an answer
-	probes    int // in a row that failed
-	heardAt   mono.Time
-	probeAt   mono.Time
-	probing   bool
-	probeWait time.Duration
+	down         bool
+	dialFailures int // consecutive
+	losses       int // consecutive, without a response
+	probes       int // consecutive failed probes
+	lastResponse mono.Time
+	probeAt      mono.Time
+	probing      bool
+	probeWait    time.Duration
 }
 
 func newHealth(now mono.Time) health {
-	return health{heardAt: now, probeAt: now, probeWait: minProbeWait}
+	return health{lastResponse: now, probeAt: now, probeWait: minProbeWait}
 }
 
-// answered takes in any whole answer to work. Work is answered only while the server is up, whatever a
-// probe said before.
+// answered records a whole response to work. It proves that the server is up, whatever an earlier probe
+// found.
 func (h *health) answered(now mono.Time) {
 	h.down = false
-	h.noDials, h.losses, h.probes = 0, 0, 0
-	h.heardAt = now
+	h.dialFailures, h.losses, h.probes = 0, 0, 0
+	h.lastResponse = now
 	h.probeWait = minProbeWait
 	if !h.probing {
-		h.probeAt = now.Add(probeEvery)
+		h.probeAt = now.Add(probeInterval)
 	}
 }
 
-// lost takes in an exchange without answer, and reports whether the server went down by it.
+// lost records an exchange without a response, and reports whether it marked the server down.
 func (h *health) lost(now mono.Time, e End) bool {
 	h.losses++
-	if e == EndNoDial {
-		h.noDials++
+	if e == EndDialFailed {
+		h.dialFailures++
 	}
-	if h.noDials >= downNoDials || h.losses >= downLosses {
-		return h.fall(now)
+	if h.dialFailures >= downDialFailures || h.losses >= downLosses {
+		return h.markDown(now)
 	}
 	if !h.probing {
-		h.probeAt = now // settle the doubt by a probe at once
+		h.probeAt = now // probe at once to confirm
 	}
 	return false
 }
 
-func (h *health) fall(now mono.Time) bool {
+func (h *health) markDown(now mono.Time) bool {
 	if h.down {
 		return false
 	}
@@ -80,15 +80,15 @@
 	h.probeWait = min(2*h.probeWait, maxProbeWait)
 }
 
-// probed takes in the result of a probe, and reports whether it changed the verdict. A probe that succeeds
-// only lets the ramp start: health pages mislead, so real answers have to follow. Until one does, its losses
-// stand, a single one more takes it down again, and the wait for the next try is not reset; a server that
-// only looks alive would else get its callers back each time.
+// probed records the result of a probe, and reports whether it changed the verdict. A successful probe
+// only starts the ramp: health pages mislead, so responses to work have to follow. Until one does, the losses
+// stay counted, one more marks the server down again, and the wait for the next probe is not reset. Otherwise a
+// server that only looks alive would get its callers back each time.
 func (h *health) probed(now mono.Time, alive bool) bool {
 	h.probing = false
 	if alive {
-		h.probes, h.noDials = 0, 0
-		h.probeAt = now.Add(probeEvery)
+		h.probes, h.dialFailures = 0, 0
+		h.probeAt = now.Add(probeInterval)
 		wasDown := h.down
 		if wasDown {
 			h.down, h.losses = false, downLosses-1
@@ -106,7 +106,7 @@
 	return false
 }
 
-// rate is a decaying count of answers a second.
+// rate is an exponentially decaying count of responses per second.
 type rate struct {
 	n  float64
 	at mono.Time
--- a/core/admit/health_test.go
+++ b/core/admit/health_test.go
@@ -9,17 +9,17 @@
 	"heatherrouter/core/mono"
 )
 
-// Callers get refusals at once with a time to come back, not timeouts. The server's port is closed: two
-// dials fail, the queue is handed back as not run, and probes decide when work starts again, by the ramp.
+// The server's port is closed: after two failed dials the queue is refused as not run, at once and with a time to
+// retry rather than by timeouts. A successful probe restarts the ramp.
 func TestDownByDialErrors(t *testing.T) {
 	s, now := warm(2, 10*time.Millisecond)
 	a := startOf(t, arrive(t, s, now, work(0)))
 	b := startOf(t, arrive(t, s, now, work(1)))
 	require.IsType(t, Queued{}, arrive(t, s, now, work(2)))
-	require.Empty(t, s.Done(now, a, Result{End: EndNoDial}), "nothing more while the server may be cold")
-	require.True(t, s.ProbeDue(now), "a probe settles the doubt")
+	require.Empty(t, s.Done(now, a, Result{End: EndDialFailed}), "no further start while the server may be cold")
+	require.True(t, s.StartProbe(now), "a probe is due at once")
 	require.IsType(t, Queued{}, arrive(t, s, now, work(3)))
-	l := s.Done(now, b, Result{End: EndNoDial})
+	l := s.Done(now, b, Result{End: EndDialFailed})
 	require.Len(t, l, 2)
 	require.Equal(t, ReasonDown, reasonOf(t, l[0]))
 	require.Equal(t, ReasonDown, reasonOf(t, l[1]))
@@ -28,28 +28,28 @@
 	require.Equal(t, ReasonDown, reasonOf(t, d))
 	require.Greater(t, d.(Refuse).RetryAfter, now)
 
-	s.Probed(now, now, Health{})
+	s.ProbeDone(now, now, ProbeResult{})
 	for range 5 {
 		require.True(t, s.Report(now).Down)
 		now = s.NextProbe()
-		require.True(t, s.ProbeDue(now))
-		require.False(t, s.ProbeDue(now), "one at a time")
-		s.Probed(now, now, Health{})
+		require.True(t, s.StartProbe(now))
+		require.False(t, s.StartProbe(now), "one probe at a time")
+		s.ProbeDone(now, now, ProbeResult{})
 	}
 	require.Equal(t, now.Add(maxProbeWait), s.NextProbe())
 	now = s.NextProbe()
-	require.True(t, s.ProbeDue(now))
-	s.Probed(now, now, Health{Alive: true})
+	require.True(t, s.StartProbe(now))
+	s.ProbeDone(now, now, ProbeResult{Alive: true})
 	r := s.Report(now)
 	require.False(t, r.Down)
 	require.Equal(t, 1, r.OpenSlots)
 	startOf(t, arrive(t, s, now, work(5)))
-	require.IsType(t, Queued{}, arrive(t, s, now, work(6)), "one paced start at first")
+	require.IsType(t, Queued{}, arrive(t, s, now, work(6)), "one rate-limited start at first")
 }
 
-// Callers of a frozen server are sent elsewhere within about a second. Its kernel takes connections and
-// requests, and nothing answers; no exchange has timed out yet, the probes find it.
-func TestDownBySilence(t *testing.T) {
+// The kernel of a frozen server accepts connections and requests, but nothing responds. No exchange has timed out
+// yet; the probes mark it down, so that callers go to other servers within about a second.
+func TestDownWithoutResponses(t *testing.T) {
 	s, now := warm(3, 10*time.Millisecond)
 	s.health.answered(now)
 	for i := range 3 {
@@ -57,38 +57,38 @@
 	}
 	for range downProbes {
 		now = s.NextProbe()
-		require.True(t, s.ProbeDue(now))
+		require.True(t, s.StartProbe(now))
 		asked := now
 		now = now.Add(250 * time.Millisecond)
-		s.Probed(now, asked, Health{})
+		s.ProbeDone(now, asked, ProbeResult{})
 	}
 	require.True(t, s.Report(now).Down)
 	require.LessOrEqual(t, now, sec)
 }
 
-// A server stays up whose health page doesn't answer while it answers work: the page lags and misleads.
-func TestProbesDontOutvoteAnswers(t *testing.T) {
+// A server whose health page doesn't respond stays up while it responds to work: the page lags and misleads.
+func TestResponsesOutweighProbes(t *testing.T) {
 	s, now := warm(1, 10*time.Millisecond)
 	for i := range 10 {
-		require.True(t, s.ProbeDue(s.NextProbe()))
+		require.True(t, s.StartProbe(s.NextProbe()))
 		a := startOf(t, arrive(t, s, now, work(i)))
 		asked := now
-		now = now.Add(probeEvery)
+		now = now.Add(probeInterval)
 		s.Done(now, a, Result{End: EndAnswered})
-		s.Probed(now, asked, Health{})
+		s.ProbeDone(now, asked, ProbeResult{})
 		require.False(t, s.Report(now).Down)
-		require.Zero(t, s.health.probes, "work was answered since it was asked")
+		require.Zero(t, s.health.probes, "a response arrived since the probe was sent")
 	}
 }
 
-// Few callers meet a server that looks alive to its probes and answers no work: their timeouts take it down,
-// and each time that a probe lets it come back, a single loss takes it down again.
-func TestProbesAloneDontRevive(t *testing.T) {
+// A server responds to probes but not to work. Timeouts mark it down, and after each probe that brings it back
+// a single loss marks it down again, so that few callers are affected.
+func TestProbesAloneDontRestoreServer(t *testing.T) {
 	s, now := warm(1, 10*time.Millisecond)
 	sent := 0
 	for i := 0; now < 20*sec; i++ {
-		if s.ProbeDue(now) {
-			s.Probed(now, now, Health{Alive: true})
+		if s.StartProbe(now) {
+			s.ProbeDone(now, now, ProbeResult{Alive: true})
 		}
 		d, _ := s.Arrive(now, work(i))
 		now = now.Add(120 * time.Millisecond)
@@ -99,10 +99,10 @@
 		now = now.Add(maxGrace)
 	}
 	require.LessOrEqual(t, sent, downLosses+20)
-	require.GreaterOrEqual(t, sent, downLosses+10, "it is tried again every second or two")
+	require.GreaterOrEqual(t, sent, downLosses+10, "retried every second or two")
 }
 
-// Timeouts of callers that left next to no time say nothing about the server.
+// Timeouts of callers that left almost no time are no evidence about the server.
 func TestShortTimeoutsDontCount(t *testing.T) {
 	s, now := warm(1, 10*time.Millisecond)
 	for i := range 20 {
@@ -124,47 +124,47 @@
 	require.Equal(t, 1, s.Report(now).OpenSlots, "a new incarnation is cold")
 	s.ramp.jump(now, 3)
 	s.Done(now, old, Result{Incarnation: 1})
-	require.EqualValues(t, 2, s.Report(now).Incarnation, "a late answer of the old life")
+	require.EqualValues(t, 2, s.Report(now).Incarnation, "late response of the old incarnation")
 	require.Equal(t, 3, s.Report(now).OpenSlots)
 }
 
-// A planned change of home costs the server no slots: its new home finds the incarnation that the old one
-// had proved. Another incarnation, or one that isn't told, ramps up.
+// A planned change of home costs the server no slots: its new home observes the incarnation that the old one had
+// proven. The ramp starts over for another incarnation, or if the server reports none.
 func TestProvenAtPreviousHome(t *testing.T) {
 	for _, x := range []struct {
-		told Health
+		reported ProbeResult
 		open int
 	}{
-		{Health{Alive: true, Incarnation: 5}, 3},
-		{Health{Alive: true, Incarnation: 6}, 1},
-		{Health{Alive: true}, 1},
+		{ProbeResult{Alive: true, Incarnation: 5}, 3},
+		{ProbeResult{Alive: true, Incarnation: 6}, 1},
+		{ProbeResult{Alive: true}, 1},
 	} {
-		s := New(0, Options{Slots: 3, Proven: Proven{Incarnation: 5, Slots: 3}})
+		s := New(0, Options{Slots: 3, Proven: ProvenSlots{Incarnation: 5, Slots: 3}})
 		require.Equal(t, 1, s.Report(0).OpenSlots)
-		require.True(t, s.ProbeDue(0))
-		s.Probed(ms, 0, x.told)
+		require.True(t, s.StartProbe(0))
+		s.ProbeDone(ms, 0, x.reported)
 		require.Equal(t, x.open, s.Report(ms).OpenSlots)
 	}
 }
 
-// A home lost its server to another one and gets it back. It may be cold by now, and the incarnation that it
-// remembers says nothing, unless the other home had proved the same.
+// A home loses its server to another home and gets it back. The server may be cold by now, and the incarnation
+// observed before is no evidence, unless the other home had proven the same.
 func TestTakeOver(t *testing.T) {
 	s, now := warm(3, 10*time.Millisecond)
 	s.Done(now, startOf(t, arrive(t, s, now, work(0))), Result{Incarnation: 5})
 	late := startOf(t, arrive(t, s, now, work(1)))
 	now = now.Add(time.Minute)
-	s.TakeOver(now, Proven{Incarnation: 6, Slots: 2})
+	s.TakeOver(now, ProvenSlots{Incarnation: 6, Slots: 2})
 	require.Equal(t, 1, s.Report(now).OpenSlots)
-	require.True(t, s.ProbeDue(now))
+	require.True(t, s.StartProbe(now))
 	s.Done(now, late, Result{Incarnation: 5})
-	require.Zero(t, s.Report(now).Incarnation, "told before the change")
-	s.Probed(now, now, Health{Alive: true, Incarnation: 6})
+	require.Zero(t, s.Report(now).Incarnation, "observed before the change")
+	s.ProbeDone(now, now, ProbeResult{Alive: true, Incarnation: 6})
 	require.Equal(t, 2, s.Report(now).OpenSlots)
 }
 
-// Callers of unkeyed work are led away from a straggler within a second, while its report says all is well.
-// It doesn't say anything here: only what the home measures counts. It returns after it was fast for long.
+// A straggler whose own load report claims good health gets no more unkeyed work within a second: only
+// measurements of the home count. It gets work again after it was fast for long enough.
 func TestStraggler(t *testing.T) {
 	s, now := warm(3, 5*time.Millisecond)
 	peers := []time.Duration{5 * time.Millisecond, 6 * time.Millisecond, 4 * time.Millisecond, 50 * time.Millisecond}
@@ -172,7 +172,7 @@
 		began := now
 		for i := 0; !until(); i++ {
 			require.Less(t, now.Sub(began), time.Minute)
-			s.Peers(now, peers)
+			s.SetPeerLatencies(now, peers)
 			var l []Ticket
 			for range 3 {
 				if v, ok := arrive(t, s, now, work(i)).(Start); ok {
@@ -191,7 +191,7 @@
 	run(5*time.Millisecond, func() bool { require.False(t, slow()); return now > end })
 	d := run(50*time.Millisecond, slow)
 	require.Less(t, d, time.Second)
-	t.Logf("slowed tenfold: told after %v", d)
+	t.Logf("slowed tenfold: reported after %v", d)
 	d = run(5*time.Millisecond, func() bool { return !slow() })
 	require.GreaterOrEqual(t, d, fastHold)
 	require.Less(t, d, 2*fastHold)
@@ -199,14 +199,14 @@
 	run(12*time.Millisecond, func() bool { require.False(t, slow(), "2.4 times is no straggler"); return now > end })
 }
 
-// A restarted server is ten times as slow as its peers until it is warm. Told as a straggler, it would be sent next to
-// nothing and stay cold; the verdict holds back until its slots are open, and then falls if it is still slow.
+// A restarted server is ten times as slow as its peers until it is warm. Reported as a straggler, it would get almost no
+// work and stay cold. The verdict is withheld until all its slots are open, and applies then if it is still slow.
 func TestColdIsNoStraggler(t *testing.T) {
 	now := mono.Time(0)
 	s := New(now, Options{Slots: 3})
 	for i := 0; s.Report(now).OpenSlots < 3; i++ {
 		require.Less(t, now, mono.Time(2*time.Minute))
-		s.Peers(now, []time.Duration{5 * time.Millisecond})
+		s.SetPeerLatencies(now, []time.Duration{5 * time.Millisecond})
 		require.False(t, s.Report(now).Slow)
 		if v, ok := arrive(t, s, now, work(i)).(Start); ok {
 			now = now.Add(50 * time.Millisecond)
@@ -214,29 +214,29 @@
 		}
 		now = now.Add(maxGap)
 	}
-	s.Peers(now, []time.Duration{5 * time.Millisecond})
+	s.SetPeerLatencies(now, []time.Duration{5 * time.Millisecond})
 	require.True(t, s.Report(now).Slow)
 }
 
-// A server that hangs finishes nothing; the age of what it holds tells.
+// A server that hangs ends no exchange; the ages of its unfinished ones show it.
 func TestHangingStraggler(t *testing.T) {
 	s, now := warm(3, 5*time.Millisecond)
 	for i := range 3 {
 		startOf(t, arrive(t, s, now, work(i)))
 	}
 	for now < sec && !s.Report(now).Slow {
-		s.Peers(now, []time.Duration{5 * time.Millisecond})
+		s.SetPeerLatencies(now, []time.Duration{5 * time.Millisecond})
 		now = now.Add(50 * time.Millisecond)
 	}
 	require.True(t, s.Report(now).Slow)
 	require.Less(t, now, sec)
 }
 
-// Hedges cancel the exchanges of a straggler before they end; the time that they had taken tells.
+// Hedges cancel the exchanges of a straggler before they end; their elapsed time still counts.
 func TestHedgedStraggler(t *testing.T) {
 	s, now := warm(3, 5*time.Millisecond)
 	for i := 0; now < sec && !s.Report(now).Slow; i++ {
-		s.Peers(now, []time.Duration{5 * time.Millisecond})
+		s.SetPeerLatencies(now, []time.Duration{5 * time.Millisecond})
 		a := startOf(t, arrive(t, s, now, work(i)))
 		now = now.Add(20 * time.Millisecond)
 		s.Done(now, a, Result{End: EndCancelled})
@@ -246,10 +246,10 @@
 	require.True(t, s.Report(now).Slow)
 }
 
-func TestOldPeersSayNothing(t *testing.T) {
+func TestOutdatedPeerLatenciesIgnored(t *testing.T) {
 	s, now := warm(1, time.Second)
-	s.Peers(now, []time.Duration{5 * time.Millisecond})
-	now = now.Add(2 * peersFor)
+	s.SetPeerLatencies(now, []time.Duration{5 * time.Millisecond})
+	now = now.Add(2 * peersMaxAge)
 	s.Tick(now)
 	require.False(t, s.Report(now).Slow)
 	require.Equal(t, mono.Never, s.speed.since)
--- a/core/admit/memory.go
+++ b/core/admit/memory.go
@@ -7,34 +7,34 @@
 	"heatherrouter/core/mono"
 )
 
-// rememberFor is how long the id of ended non-idempotent work is remembered. It is longer than any caller's
-// deadline with its retries, so that a copy of the request that was delayed on its way still finds it.
-const rememberFor = 5 * time.Minute
+// dedupTTL is how long the id of ended non-idempotent work is kept. It is longer than any caller's
+// deadline with its retries, so that a delayed copy of the request is still detected.
+const dedupTTL = 5 * time.Minute
 
-// memory holds the ids of non-idempotent requests that were started, or wait to be.
+// idTable holds the ids of non-idempotent requests that are queued or were started.
 //
-// A request that reaches the server twice registers a shift swap twice. The home is the only sender to its
-// server, so one memory there sees every copy that arrives while it is home.
-type memory struct {
+// A shift swap that reaches the server twice is registered twice. The home is the only sender to its
+// server, so one table there sees every copy that arrives while it is home.
+type idTable struct {
 	limit int
-	ids   map[ident.Request]mono.Time // until when; Never while pending
-	order []remembered                // ended ones, oldest first
+	ids   map[ident.Request]mono.Time // when the id expires; Never while pending
+	order []endedID                   // ended requests, oldest first
 }
 
-type remembered struct {
+type endedID struct {
 	id    ident.Request
 	until mono.Time
 }
 
-func (m *memory) seen(now mono.Time, id ident.Request) (pending, ok bool) {
+func (m *idTable) seen(now mono.Time, id ident.Request) (pending, ok bool) {
 	m.forget(now)
 	t, ok := m.ids[id]
 	return t == mono.Never, ok
 }
 
-// add remembers the id as pending, or reports that there is no room. An old id is never pushed out early:
-// its copy could then run, and a refusal is only an inconvenience.
-func (m *memory) add(id ident.Request) bool {
+// add inserts the id as pending, or reports that the table is full. An id is never evicted early: a copy of
+// its request could then run, which is worse than a refusal.
+func (m *idTable) add(id ident.Request) bool {
 	if len(m.ids) >= m.limit {
 		return false
 	}
@@ -42,18 +42,18 @@
 	return true
 }
 
-// end settles a pending id: one that certainly did not run may come again.
-func (m *memory) end(now mono.Time, id ident.Request, ran bool) {
+// end ends a pending id: that of a request that did not run is removed, so that the request may be sent again.
+func (m *idTable) end(now mono.Time, id ident.Request, ran bool) {
 	if !ran {
 		delete(m.ids, id)
 		return
 	}
-	t := now.Add(rememberFor)
+	t := now.Add(dedupTTL)
 	m.ids[id] = t
-	m.order = append(m.order, remembered{id: id, until: t})
+	m.order = append(m.order, endedID{id: id, until: t})
 }
 
-func (m *memory) forget(now mono.Time) {
+func (m *idTable) forget(now mono.Time) {
 	n := 0
 	for n < len(m.order) && !now.Before(m.order[n].until) {
 		delete(m.ids, m.order[n].id)
--- a/core/admit/prop_test.go
+++ b/core/admit/prop_test.go
@@ -12,7 +12,7 @@
 	"heatherrouter/core/mono"
 )
 
-// model checks a Server from outside: what is open by ticket, and what ran by request id.
+// model tracks a Server from outside: open work by ticket, and what ran by request id.
 type model struct {
 	s       *Server
 	now     mono.Time
@@ -25,9 +25,9 @@
 	k := TicketOf(d)
 	switch v := d.(type) {
 	case Start:
-		require.LessOrEqual(t, len(m.started)+1, m.s.ramp.open(), "more than the open slots")
+		require.LessOrEqual(t, len(m.started)+1, m.s.ramp.open(), "more exchanges than open slots")
 		require.False(t, m.s.health.down || m.s.draining)
-		require.True(t, m.now.Before(w.Deadline), "started too late")
+		require.True(t, m.now.Before(w.Deadline), "started after its deadline")
 		require.False(t, !w.Idempotent && m.pending[w.ID], "ran twice")
 		m.pending[w.ID] = m.pending[w.ID] || !w.Idempotent
 		m.started[k] = w
@@ -45,23 +45,23 @@
 func (m *model) changes(t *rapid.T, l []Decision) {
 	for _, d := range l {
 		w, ok := m.queued[TicketOf(d)]
-		require.True(t, ok, "a decision about work that isn't queued")
+		require.True(t, ok, "decision about work that is not queued")
 		delete(m.queued, TicketOf(d))
 		m.decide(t, w, d)
 	}
 	for k, w := range m.queued {
-		require.True(t, m.now.Before(w.Deadline) || m.s.NextTick() <= m.now, "%v is forgotten", k)
+		require.True(t, m.now.Before(w.Deadline) || m.s.NextTick() <= m.now, "ticket %v has no decision by its deadline", k)
 	}
 	require.Len(t, m.s.queue.l, len(m.queued))
 	require.LessOrEqual(t, len(m.queued), m.s.options.QueueLen)
 	require.Len(t, m.s.inFlight, len(m.started))
 }
 
-// pass lets time pass, with ticks when they are due.
+// pass advances the time, with ticks when they are due.
 func (m *model) pass(t *rapid.T, d time.Duration) {
 	end := m.now.Add(d)
 	for i := 0; m.s.NextTick() <= end; i++ {
-		require.Less(t, i, 1000, "ticks without end")
+		require.Less(t, i, 1000, "endless ticks")
 		m.now = max(m.now, m.s.NextTick())
 		m.changes(t, m.s.Tick(m.now))
 	}
@@ -78,13 +78,13 @@
 	return rapid.SampledFrom(l).Draw(t, "ticket")
 }
 
-// Whatever happens in whatever order: never more than the open slots, no work lost, each queued one started
+// For any order of events: never more exchanges than open slots, no work lost, each queued entry started
 // or refused by its deadline, and no id of a non-idempotent request run twice.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
 		m := &model{
-			s:      New(0, Options{Slots: slots, QueueLen: 4, Memory: 8}),
+			s:      New(0, Options{Slots: slots, QueueLen: 4, MaxRequestIDs: 8}),
 			queued: map[Ticket]Work{}, started: map[Ticket]Work{}, pending: map[ident.Request]bool{},
 		}
 		if rapid.Bool().Draw(t, "warm") {
@@ -101,9 +101,9 @@
 			"pass":  func(t *rapid.T) { m.pass(t, time.Duration(rapid.IntRange(0, 400).Draw(t, "ms"))*time.Millisecond) },
 			"drain": func(t *rapid.T) { m.changes(t, m.s.Drain(m.now, rapid.IntRange(0, 3).Draw(t, "on") == 0)) },
 			"probe": func(t *rapid.T) {
-				if m.s.ProbeDue(m.now) {
+				if m.s.StartProbe(m.now) {
 					i := ident.Incarnation(rapid.IntRange(0, 2).Draw(t, "incarnation")) //nolint:gosec // small
-					m.changes(t, m.s.Probed(m.now, m.now, Health{rapid.Bool().Draw(t, "alive"), i}))
+					m.changes(t, m.s.ProbeDone(m.now, m.now, ProbeResult{rapid.Bool().Draw(t, "alive"), i}))
 				}
 			},
 			"release": func(t *rapid.T) {
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -13,14 +13,14 @@
 	started mono.Time
 }
 
-// queue is bounded and ordered by priority, then by arrival. It is short, so a sorted slice does.
+// queue is bounded and ordered by priority, then by arrival. It is short enough for a sorted slice.
 type queue struct {
 	l     []entry
 	limit int
 }
 
-// push puts the entry in its place. When the queue is full, it evicts the newest entry of a lower priority;
-// one whose kind is never dropped keeps its place.
+// push inserts the entry in order. If the queue is full, it evicts the newest entry of a lower priority that is
+// not marked NeverDropped; without one, ok is false.
 func (q *queue) push(e entry) (evicted entry, isEvicted, ok bool) {
 	if len(q.l) >= q.limit {
 		i := q.victim(e)
@@ -43,7 +43,7 @@
 	return -1
 }
 
-// ahead counts the entries that would start before a new one, which is also its place in the queue.
+// ahead counts the entries that would start before a new one, which is also its index in the queue.
 func (q *queue) ahead(e *entry) int {
 	i := len(q.l)
 	for i > 0 && q.l[i-1].Priority < e.Priority {
@@ -58,7 +58,7 @@
 	return e
 }
 
-// remove takes out the entries for which f is true, and returns them in order.
+// remove removes the entries for which f returns true, and returns them in order.
 func (q *queue) remove(f func(e *entry) bool) []entry {
 	var out []entry
 	keep := q.l[:0]
--- a/core/admit/ramp.go
+++ b/core/admit/ramp.go
@@ -6,9 +6,9 @@
 	"heatherrouter/core/mono"
 )
 
-// step is one step of the cold start: how many slots are open, and which part of the time they may be busy.
-// Both the answers and the time have to pass before the next step: answers alone would race through the
-// steps with cheap requests, time alone would open slots that nothing has tried.
+// step is one step of the cold start: how many slots are open, and which share of the time they may be busy.
+// The next step requires both the responses and the time: responses alone would complete the steps within
+// moments on cheap requests, time alone would open slots without evidence.
 type step struct {
 	slots   int
 	duty    float64
@@ -22,39 +22,39 @@
 	slotAnswers = 32
 	slotTime    = time.Second
 
-	// Refusals and resets add 1 to a score that each answer lowers by answerCredit. Up to one in nine is noise;
-	// more goes back a step, and a burst is taken for a cold restart.
+	// Refusals and resets add 1 to a score that each response lowers by answerCredit. Up to one in nine is noise;
+	// more goes back a step, and a burst is treated as a cold restart.
 	answerCredit = 0.125
 	backScore    = 2
 	burst        = 3
 
-	// How long a server stays cold is not known; each fall during the ramp, or soon after it, doubles what a step asks for, up
-	// to maxCaution times, so that the same fall doesn't come again and again.
-	maxCaution = 16
+	// The warm-up time of a server is unknown. Each collapse during the ramp, or soon after it, doubles what a step
+	// requires, up to maxBackoff times, so that the same collapse doesn't recur.
+	maxBackoff = 16
 
-	// calmAfter is how long a server must carry its full load to halve the caution.
-	calmAfter = time.Minute
+	// stableAfter is how long a server must carry its full load before the backoff is halved.
+	stableAfter = time.Minute
 
 	maxGap = 500 * time.Millisecond // between the starts of a paced step
 )
 
-// ramp opens a server's slots one by one on proven answers.
+// ramp opens a server's slots one by one, each after enough successful responses.
 //
-// A server that has just started carries only a little load and falls over under full load; it then starts
-// again, and without a ramp would be fed to its next fall. With a few slots only, even one busy slot can be
-// too much, so the first steps pace that slot too.
+// A server that has just started carries little load and collapses under full load. It then restarts, and without
+// a ramp would be overloaded again. With few slots, even one busy slot can be too much, so the first steps
+// limit the rate of that slot too.
 type ramp struct {
-	steps   []step
-	at      int // step
-	proven  int // answers at this step
-	since   mono.Time
-	caution int
-	notFrom mono.Time // no start before this, by the pace
-	score   float64
+	steps     []step
+	at        int // index of the step
+	proven    int // successful responses at this step
+	since     mono.Time
+	backoff   int
+	nextStart mono.Time // earliest time of the next start
+	score     float64
 }
 
 func newRamp(now mono.Time, slots int) ramp {
-	r := ramp{since: now, caution: 1}
+	r := ramp{since: now, backoff: 1}
 	for _, d := range []float64{0.15, 0.35, 0.7} {
 		r.steps = append(r.steps, step{1, d, paceAnswers, paceTime})
 	}
@@ -69,16 +69,16 @@
 func (r *ramp) full() bool { return r.at == len(r.steps)-1 }
 
 func (r *ramp) restart(now mono.Time) {
-	if r.at > 0 && (!r.full() || now.Sub(r.since) < calmAfter) {
-		r.caution = min(2*r.caution, maxCaution)
+	if r.at > 0 && (!r.full() || now.Sub(r.since) < stableAfter) {
+		r.backoff = min(2*r.backoff, maxBackoff)
 	}
 	r.at, r.proven, r.since = 0, 0, now
 	r.score = 0
 }
 
-// resume ramps up a server that was drained, with no caution added: it didn't fall. One that is known to be in the same
-// incarnation as before starts with a whole slot. The pace of a cold start would refuse nearly all of the keys that come
-// back to it by a planned change; a restart meanwhile shows by its new incarnation, and is paced.
+// resume restarts the ramp of a server that was drained, without more backoff: it didn't collapse. A server known to be
+// in the same incarnation starts with a whole slot, since the rate of a cold start would refuse nearly all of the keys
+// that return by a planned change. A restart meanwhile shows by a new incarnation and restarts the ramp.
 func (r *ramp) resume(now mono.Time, sameIncarnation bool) {
 	r.at, r.proven, r.since, r.score = 0, 0, now, 0
 	if sameIncarnation {
@@ -94,43 +94,43 @@
 	for r.steps[r.at].duty < 1 {
 		r.at++
 	}
-	r.proven, r.since, r.notFrom = 0, now, now
+	r.proven, r.since, r.nextStart = 0, now, now
 }
 
-// started paces the next start.
+// started sets the earliest time of the next start at a rate-limited step.
 func (r *ramp) started(now mono.Time, service time.Duration) {
 	d := r.steps[r.at].duty
 	if d >= 1 {
-		r.notFrom = now
+		r.nextStart = now
 		return
 	}
-	r.notFrom = now.Add(min(time.Duration(float64(service)/d), maxGap))
+	r.nextStart = now.Add(min(time.Duration(float64(service)/d), maxGap))
 }
 
-// answered counts a proven answer. An answer to work that was started at an earlier step proves nothing
-// about this one.
+// answered counts a successful response. A response to work that was started at an earlier step is no evidence
+// for this one.
 func (r *ramp) answered(now, started mono.Time) {
 	r.score = max(r.score-answerCredit, 0)
 	if started.Before(r.since) {
 		return
 	}
 	if r.full() {
-		if r.caution > 1 && now.Sub(r.since) >= calmAfter {
-			r.caution, r.since = r.caution/2, now
+		if r.backoff > 1 && now.Sub(r.since) >= stableAfter {
+			r.backoff, r.since = r.backoff/2, now
 		}
 		return
 	}
 	r.proven++
 	s := r.steps[r.at]
-	if r.proven >= s.answers*r.caution && now.Sub(r.since) >= s.time*time.Duration(r.caution) {
+	if r.proven >= s.answers*r.backoff && now.Sub(r.since) >= s.time*time.Duration(r.backoff) {
 		r.at++
 		r.proven, r.since = 0, now
 	}
 }
 
-// failed takes in a refusal or a reset, and reports a burst, after which the ramp has to start again. A
-// single failure has many causes; a burst while we keep to the slots means that the server carries less
-// than it did.
+// failed records a refusal or a reset, and reports a burst, after which the ramp must restart. A single
+// failure has many causes; a burst while this home keeps to the slots means that the server's capacity has
+// dropped.
 func (r *ramp) failed(now mono.Time) bool {
 	r.score++
 	switch {
--- a/core/admit/report.go
+++ b/core/admit/report.go
@@ -6,8 +6,8 @@
 	"heatherrouter/core/mono"
 )
 
-// ProbeDue reports whether to probe the server now; Probed must follow.
-func (s *Server) ProbeDue(now mono.Time) bool {
+// StartProbe reports whether to probe the server now; if so, ProbeDone must follow.
+func (s *Server) StartProbe(now mono.Time) bool {
 	if s.health.probing || now.Before(s.health.probeAt) {
 		return false
 	}
@@ -15,7 +15,7 @@
 	return true
 }
 
-// NextProbe returns when a probe is due, or Never while one is under way.
+// NextProbe returns when a probe is due, or Never while one is in progress.
 func (s *Server) NextProbe() mono.Time {
 	if s.health.probing {
 		return mono.Never
@@ -23,12 +23,12 @@
 	return s.health.probeAt
 }
 
-// Probed takes in the result of a probe that was asked at the given time.
-func (s *Server) Probed(now, asked mono.Time, h Health) []Decision {
-	// Work that was answered since the probe was asked says more than the probe that wasn't.
-	if !h.Alive && !s.health.heardAt.Before(asked) {
+// ProbeDone records the result of a probe that was sent at the given time.
+func (s *Server) ProbeDone(now, asked mono.Time, h ProbeResult) []Decision {
+	// A response to work since the probe was sent outweighs the failed probe.
+	if !h.Alive && !s.health.lastResponse.Before(asked) {
 		s.health.probing = false
-		s.health.probeAt = now.Add(probeEvery)
+		s.health.probeAt = now.Add(probeInterval)
 		return nil
 	}
 	if s.health.probed(now, h.Alive) {
@@ -36,20 +36,20 @@
 	}
 	s.observeIncarnation(now, asked, h.Incarnation)
 	if h.Alive && h.Incarnation != 0 {
-		s.trust(asked)
+		s.clearSuspicion(asked)
 	}
 	return s.Tick(now)
 }
 
-// Peers hands in the latencies of the other servers of the service, as their homes report them.
-func (s *Server) Peers(now mono.Time, l []time.Duration) {
+// SetPeerLatencies sets the latencies of the service's other servers, as their homes report them.
+func (s *Server) SetPeerLatencies(now mono.Time, l []time.Duration) {
 	s.peers = append(s.peers[:0], l...)
 	s.peersAt = now
 	s.judge(now)
 }
 
 func (s *Server) judge(now mono.Time) {
-	if now.Sub(s.peersAt) > peersFor {
+	if now.Sub(s.peersAt) > peersMaxAge {
 		s.speed.judge(now, 0, nil)
 		return
 	}
@@ -68,15 +68,15 @@
 	return s.speed.median(s.ages)
 }
 
-// slow reports whether callers are to be led away. A cold server is slow, and work is what warms it: led away from it,
-// callers would keep it cold and slow for good. While it ramps up, the ramp alone bounds what it gets.
+// slow reports whether work should go to other servers. A cold server is slow and needs work to warm up: without it,
+// it would stay cold and slow. During the ramp, only the ramp limits its work.
 func (s *Server) slow() bool {
 	return s.speed.slow && s.ramp.full()
 }
 
-// Report returns what the home sees of the server.
+// Report returns the state of the server as its home measures it.
 func (s *Server) Report(now mono.Time) Report {
-	s.dropFreed(now)
+	s.expireHeld(now)
 	return Report{
 		Down:            s.health.down,
 		Slow:            s.slow(),
@@ -90,7 +90,7 @@
 	}
 }
 
-// MedianServiceTime returns the moving median of our own exchanges, or 0 before the first answer.
+// MedianServiceTime returns the moving median over this home's exchanges, or 0 before the first response.
 func (s *Server) MedianServiceTime() time.Duration {
 	return s.speed.median(nil)
 }
--- a/core/admit/speed.go
+++ b/core/admit/speed.go
@@ -10,8 +10,8 @@
 const (
 	samples = 16
 
-	// slowFactor and fastFactor differ, and so do the times that they have to hold: a server on the edge
-	// would else flap, and each flap moves the load of all its peers.
+	// slowFactor and fastFactor differ, and so do the times for which they must hold: a server near the
+	// threshold would otherwise flap, and each change moves the load of all its peers.
 	slowFactor = 3.0
 	fastFactor = 1.5
 	slowHold   = 200 * time.Millisecond
@@ -21,13 +21,13 @@
 	slowFloor = 2 * time.Millisecond
 )
 
-// speed judges whether the server is a straggler by comparing what we see ourselves with its peers.
-// The server's own load report lags, so it has no say.
+// speed decides whether the server is a straggler by comparing this home's measurements with its peers.
+// It ignores the server's own load report, which lags.
 type speed struct {
 	ring  [samples]time.Duration
-	n     int // samples ever taken
+	n     int // number of samples ever added
 	slow  bool
-	since mono.Time // since when the opposite verdict would hold; Never while it doesn't
+	since mono.Time // start of the time for which the opposite verdict has held; Never if it doesn't hold
 }
 
 func (s *speed) add(d time.Duration) {
@@ -35,14 +35,14 @@
 	s.n++
 }
 
-// forget drops what was measured, and the verdict that rests on it.
+// forget discards the samples and the verdict based on them.
 func (s *speed) forget() {
 	s.n, s.slow, s.since = 0, false, mono.Never
 }
 
-// median returns the moving median of finished exchanges, or the age of the youngest unfinished one if that
-// is more. The caller hands ages in only while all open slots are busy: a server that hangs finishes
-// nothing and would else look as fast as before, while a single long query says nothing.
+// median returns the moving median of ended exchanges, or the age of the youngest unfinished one if that
+// is longer. The caller passes ages only while all open slots are busy: a hanging server ends no exchange
+// and would otherwise look as fast as before, while a single long query is no evidence.
 func (s *speed) median(ages []time.Duration) time.Duration {
 	n := min(s.n, samples)
 	if n == 0 {
--- a/core/admit/types.go
+++ b/core/admit/types.go
@@ -8,45 +8,45 @@
 	"heatherrouter/core/mono"
 )
 
-// Ticket numbers one piece of work at one Server; hedges of one request have different tickets.
+// Ticket identifies one piece of work at one Server; hedges of one request have different tickets.
 type Ticket uint64
 
-// Work is one send of a request that asks for a slot.
+// Work is one attempt to send a request, which needs a slot.
 type Work struct {
 	ID           ident.Request
 	Shard        ident.Shard
 	Priority     config.Priority
 	Deadline     mono.Time
 	Idempotent   bool
-	NeverDropped bool // in the queue, it is not evicted for work of higher priority
-	Streamed     bool // its time says nothing about the server's speed
+	NeverDropped bool // not evicted from the queue for work of higher priority
+	Streamed     bool // excluded from the service times, which it would distort
 }
 
-// Decision is what becomes of one piece of work: Start, Queued, Refuse or Duplicate.
+// Decision is the outcome for one piece of work: Start, Queued, Refuse or Duplicate.
 type Decision interface {
 	decision()
 }
 
 type (
-	// Start says to send the work now; Done must follow.
+	// Start means that the work must be sent now; the caller reports its end by Done.
 	Start struct {
 		Ticket Ticket
 	}
 
-	// Queued says to wait: a later call returns a Start or a Refuse for the ticket.
+	// Queued means that the work waits: a later call returns a Start or a Refuse for the ticket.
 	Queued struct {
 		Ticket Ticket
 	}
 
-	// Refuse says that the work was not and will not be sent.
+	// Refuse means that the work was not sent and will not be.
 	Refuse struct {
 		Ticket     Ticket
 		Reason     Reason
-		RetryAfter mono.Time // when room is expected
+		RetryAfter mono.Time // when capacity is expected
 	}
 
-	// Duplicate says that non-idempotent work of the same request id was started before. It is no refusal:
-	// the request may have run, so the caller must not be told that it didn't.
+	// Duplicate means that non-idempotent work with the same request id was started before. It is not a refusal:
+	// the request may have run, so the caller must not be informed that it didn't.
 	Duplicate struct {
 		Ticket  Ticket
 		Pending bool // the first one has not ended
@@ -58,16 +58,16 @@
 func (Refuse) decision()    {}
 func (Duplicate) decision() {}
 
-// Reason is why work was refused; kebab case.
+// Reason is why work was refused, in kebab case.
 type Reason string
 
-// Reasons of refusals. Work refused for the last three may go elsewhere at once.
+// Reasons of refusals. Work refused for the last three may be sent to another server at once.
 const (
 	ReasonQueueFull  Reason = "queue-full"
 	ReasonTooLate    Reason = "too-late"    // it would wait in the queue beyond its deadline
 	ReasonExpired    Reason = "expired"     // its deadline passed in the queue
 	ReasonEvicted    Reason = "evicted"     // work of higher priority took its place
-	ReasonMemoryFull Reason = "memory-full" // no room to remember another request id
+	ReasonMemoryFull Reason = "memory-full" // the request id table is full
 	ReasonCancelled  Reason = "cancelled"
 	ReasonDown       Reason = "server-down"
 	ReasonDraining   Reason = "server-draining"
@@ -79,23 +79,23 @@
 
 // Ways in which an exchange ends.
 const (
-	EndAnswered   End = iota // whole answer with a status below 500
-	EndFailed                // whole answer with a status from 500 on that doesn't tell of load
-	EndOverloaded            // whole answer that says the server can't carry the load: 502, 503 or 504 by its status
-	EndRefused               // the server said that it did not run the request
-	EndNoDial                // no connection could be made; nothing was sent
-	EndNoConn                // no connection was free or the pool is closed; says nothing about the server
-	EndReset                 // connection reset or closed before a whole answer
-	EndTimeout               // no whole answer by the deadline
-	EndSilent                // connection given up because others answered and this one didn't
-	EndCancelled             // given up by our side
+	EndAnswered     End = iota // whole response with a status below 500
+	EndFailed                  // whole response with a status of at least 500 that doesn't indicate overload
+	EndOverloaded              // whole response that indicates overload: status 502, 503 or 504
+	EndRefused                 // the server reported that it did not run the request
+	EndDialFailed              // no connection could be made; nothing was sent
+	EndNoConnFree              // no connection was free or the pool is closed; no evidence about the server
+	EndReset                   // connection reset or closed before a whole response
+	EndTimeout                 // no whole response by the deadline
+	EndUnresponsive            // connection abandoned because others received responses and this one didn't
+	EndCancelled               // cancelled by this process
 )
 
 var endNames = [...]string{
 	"answered", "failed", "overloaded", "refused", "no-dial", "no-conn", "reset", "timeout", "silent", "cancelled",
 }
 
-// String returns the end in kebab case.
+// String returns the end in kebab case, or "unknown".
 func (e End) String() string {
 	if int(e) < len(endNames) {
 		return endNames[e]
@@ -103,19 +103,19 @@
 	return "unknown"
 }
 
-// Result is what is known after one exchange.
+// Result is the outcome of one exchange.
 type Result struct {
 	End         End
-	Incarnation ident.Incarnation // of the backend server, 0 where it doesn't tell one
+	Incarnation ident.Incarnation // of the backend server; 0 if it doesn't report one
 }
 
-// Health is the result of one probe.
-type Health struct {
-	Alive       bool // some whole answer came, whatever it says: health pages lag and mislead
+// ProbeResult is the result of one probe.
+type ProbeResult struct {
+	Alive       bool // a whole response arrived, with any status: health pages lag and mislead
 	Incarnation ident.Incarnation
 }
 
-// Report is what the home itself sees of its backend server.
+// Report is the state of the backend server as its home measures it.
 type Report struct {
 	Down            bool
 	Slow            bool
@@ -128,17 +128,17 @@
 	Incarnation     ident.Incarnation
 }
 
-// Options sets up a Server; the zero value of each tuning constant takes its default.
+// Options configures a Server; zero QueueLen and MaxRequestIDs take their defaults.
 type Options struct {
-	Slots    int
-	QueueLen int // bound of the queue
-	Memory   int // bound of the request ids that are remembered
-	Proven   Proven
+	Slots         int
+	QueueLen      int // maximum number of queued entries
+	MaxRequestIDs int // maximum number of request ids kept to detect duplicates
+	Proven        ProvenSlots
 }
 
-// Proven is how many slots a server had open at its previous home, and in which incarnation; zero if not
-// known. As soon as the server tells the same incarnation, the ramp goes on from there.
-type Proven struct {
+// ProvenSlots is how many slots a server had open at its previous home, and in which incarnation; zero if
+// unknown. The ramp continues from there once the server reports the same incarnation.
+type ProvenSlots struct {
 	Incarnation ident.Incarnation
 	Slots       int
 }
--- a/io/conns/conn.go
+++ b/io/conns/conn.go
@@ -385,11 +385,11 @@
 	}
 	switch {
 	case errors.Is(err, ErrGuard):
-		r.End = admit.EndNoConn
+		r.End = admit.EndNoConnFree
 	case ours:
 		r.End = admit.EndCancelled
 	case errors.Is(err, ErrSilent):
-		r.End = admit.EndSilent
+		r.End = admit.EndUnresponsive
 	case isTimeout(err):
 		r.End = admit.EndTimeout
 	default:
--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -183,7 +183,7 @@
 // the connection if that may be used on.
 func (p *Pool) exchange(ctx context.Context, call Call, req *fasthttp.Request, resp *fasthttp.Response, streamed bool) (*conn, Result) {
 	if call.Deadline.IsZero() {
-		return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConn, Err: errNoDeadline}
+		return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConnFree, Err: errNoDeadline}
 	}
 	for {
 		c, r := p.get(ctx, call)
@@ -219,7 +219,7 @@
 	for {
 		c, err := p.take()
 		if err != nil {
-			return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConn, Err: err}
+			return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConnFree, Err: err}
 		}
 		if c == nil {
 			break
@@ -231,14 +231,14 @@
 	}
 	if call.Reuse {
 		p.release()
-		return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConn, Err: ErrNoReuse}
+		return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConnFree, Err: ErrNoReuse}
 	}
 	c, err := p.dial(ctx, call.Deadline)
 	if err == nil {
 		return c, Result{}
 	}
 	p.release()
-	end := admit.EndNoDial
+	end := admit.EndDialFailed
 	switch {
 	case ctx.Err() != nil:
 		end = admit.EndCancelled
--- a/io/conns/conns_test.go
+++ b/io/conns/conns_test.go
@@ -167,7 +167,7 @@
 	p := newPool(t, Options{Addr: a})
 	r, _ := do(p, soon(), "/")
 	require.Equal(t, retry.NotRun, r.Outcome)
-	require.Equal(t, admit.EndNoDial, r.End)
+	require.Equal(t, admit.EndDialFailed, r.End)
 	require.Zero(t, p.Stats().Open)
 	_, err = p.Probe(time.Now().Add(time.Second))
 	require.Error(t, err)
@@ -311,7 +311,7 @@
 	c.Guard = func() bool { return false }
 	r, _ := do(p, c, "/")
 	require.Equal(t, retry.NotRun, r.Outcome)
-	require.Equal(t, admit.EndNoConn, r.End)
+	require.Equal(t, admit.EndNoConnFree, r.End)
 	require.EqualValues(t, 2, runs.Load())
 }
 
@@ -361,7 +361,7 @@
 	}
 	r := <-done
 	require.Equal(t, retry.Unknown, r.Outcome)
-	require.Equal(t, admit.EndSilent, r.End)
+	require.Equal(t, admit.EndUnresponsive, r.End)
 	require.Less(t, time.Since(start), time.Second)
 	require.Zero(t, p.Stats().Open)
 }
@@ -433,7 +433,7 @@
 	})
 	h, err := newPool(t, Options{Addr: a}).Probe(time.Now().Add(time.Second))
 	require.NoError(t, err)
-	require.Equal(t, admit.Health{Alive: true, Incarnation: 7}, h)
+	require.Equal(t, admit.ProbeResult{Alive: true, Incarnation: 7}, h)
 }
 
 // A caller that sends our own headers doesn't get through with them.
--- a/io/conns/probe.go
+++ b/io/conns/probe.go
@@ -12,13 +12,13 @@
 
 // Probe asks for the health page on a new connection of its own, so that it finds out whether the server
 // takes new ones. Any whole answer counts as alive: what the page says lags and misleads.
-func (p *Pool) Probe(deadline time.Time) (admit.Health, error) {
+func (p *Pool) Probe(deadline time.Time) (admit.ProbeResult, error) {
 	asked := time.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	c, err := p.dial(ctx, deadline)
 	if err != nil {
-		return admit.Health{}, trace.Wrap(err, "dial %v", p.addr)
+		return admit.ProbeResult{}, trace.Wrap(err, "dial %v", p.addr)
 	}
 	defer c.close()
 	h, err := p.health(c, deadline)
@@ -28,16 +28,16 @@
 	return h, err
 }
 
-func (p *Pool) health(c *conn, deadline time.Time) (admit.Health, error) {
+func (p *Pool) health(c *conn, deadline time.Time) (admit.ProbeResult, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetHost(p.addr)
 	req.SetRequestURI(p.options.HealthPath)
 	if err := c.ask(p, deadline, req, resp); err != nil {
-		return admit.Health{}, trace.Wrap(err)
+		return admit.ProbeResult{}, trace.Wrap(err)
 	}
-	return admit.Health{Alive: true, Incarnation: incarnation(resp)}, nil
+	return admit.ProbeResult{Alive: true, Incarnation: incarnation(resp)}, nil
 }
 
 // ask is an exchange that doesn't count for others: health pages are answered also by servers that answer
--- a/io/daemon/daemon.go
+++ b/io/daemon/daemon.go
@@ -197,9 +197,9 @@
 }
 
 // proven returns what the last home of a server reported to this daemon's entry.
-func (d *Daemon) proven(s ident.Server) admit.Proven {
+func (d *Daemon) proven(s ident.Server) admit.ProvenSlots {
 	if !d.running.Load() {
-		return admit.Proven{}
+		return admit.ProvenSlots{}
 	}
 	return d.entry.Proven(s)
 }
--- a/io/entry/pick.go
+++ b/io/entry/pick.go
@@ -65,11 +65,11 @@
 }
 
 // Proven returns how many slots a server had open in which life, as its home last reported.
-func (e *Entry) Proven(s ident.Server) admit.Proven {
+func (e *Entry) Proven(s ident.Server) admit.ProvenSlots {
 	l := e.loads.of(s)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return admit.Proven{
+	return admit.ProvenSlots{
 		Incarnation: ident.Incarnation(l.report.GetIncarnation()), Slots: int(l.report.GetOpenSlots()),
 	}
 }
--- a/io/grant/link_test.go
+++ b/io/grant/link_test.go
@@ -29,7 +29,7 @@
 // daemons inside still send to them. Only a response of a server itself may end an incarnation.
 func TestOnlyServerResponsesEndIncarnation(t *testing.T) {
 	refused := conns.Result{
-		Outcome: retry.NotRun, End: admit.EndNoDial, Err: trace.Wrap(syscall.ECONNREFUSED, "dial"),
+		Outcome: retry.NotRun, End: admit.EndDialFailed, Err: trace.Wrap(syscall.ECONNREFUSED, "dial"),
 	}
 	answered := conns.Result{Outcome: retry.Answered, End: admit.EndAnswered}
 	tests := []struct {
--- a/io/home/exchange.go
+++ b/io/home/exchange.go
@@ -225,7 +225,7 @@
 
 // undo gives back the slot of work that is not sent.
 func (h *Home) undo(now mono.Time, j *job) {
-	h.deliver(h.admit.Done(now, j.ticket, admit.Result{End: admit.EndNoConn}))
+	h.deliver(h.admit.Done(now, j.ticket, admit.Result{End: admit.EndNoConnFree}))
 }
 
 func (h *Home) moved(reason string) *wire.ExchangeAnswer {
--- a/io/home/home.go
+++ b/io/home/home.go
@@ -89,7 +89,7 @@
 // noteLost tells admission of connections that the server closed while they were idle.
 func (h *Home) noteLost(now mono.Time) {
 	if h.connLost.Swap(false) {
-		h.admit.Suspect(now)
+		h.admit.SuspectRestart(now)
 	}
 }
 
@@ -244,9 +244,9 @@
 	h.offerGrant(now)
 	if !now.Before(h.compare) {
 		h.compare = now.Add(peerEvery)
-		h.admit.Peers(now, h.o.Latencies(h.service.Name, h.id))
+		h.admit.SetPeerLatencies(now, h.o.Latencies(h.service.Name, h.id))
 	}
-	if h.admit.ProbeDue(now) {
+	if h.admit.StartProbe(now) {
 		go h.probe(h.pool, now)
 	}
 	return !held
@@ -269,13 +269,13 @@
 func (h *Home) probe(p *conns.Pool, asked mono.Time) {
 	x, err := p.Probe(h.o.Clock.Std(asked.Add(probeLimit)))
 	if err != nil {
-		x = admit.Health{}
+		x = admit.ProbeResult{}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	was := h.admit.Report(asked).Down
 	now := h.o.Clock.Now()
-	h.deliver(h.admit.Probed(now, asked, x))
+	h.deliver(h.admit.ProbeDone(now, asked, x))
 	if is := h.admit.Report(now).Down; is != was {
 		h.asked = 0 // tells the coordinator with a renewal at once, since the keys wait for it
 		h.o.Log.Warn().Str("server", string(h.id)).Bool("down", is).AnErr("probe", err).Msg("backend server")
--- a/io/home/homes.go
+++ b/io/home/homes.go
@@ -49,7 +49,7 @@
 	Alive     func(ident.Daemon) bool
 	Heard     func(ident.Daemon)
 	Latencies func(s ident.Service, without ident.Server) []time.Duration
-	Proven    func(s ident.Server) admit.Proven // what the last home reported of a server
+	Proven    func(s ident.Server) admit.ProvenSlots // what the last home reported of a server
 	Log       *log.Logger
 }
 
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -236,14 +236,14 @@
 		b.load.RecordSuccess()
 	case admit.EndRefused, admit.EndOverloaded:
 		b.observeRefusal(now, resp)
-	case admit.EndReset, admit.EndNoDial:
+	case admit.EndReset, admit.EndDialFailed:
 		if x.Over {
 			b.load.RecordFailure(now, avoidWhenFull)
 			break
 		}
 		b.load.RecordFailure(now, avoidAfterFailure)
 		b.restartSuspectedUntil = now.Add(restartSuspicionTime)
-	case admit.EndTimeout, admit.EndSilent:
+	case admit.EndTimeout, admit.EndUnresponsive:
 		b.load.RecordFailure(now, avoidAfterFailure)
 	case admit.EndFailed:
 		b.load.RecordFailure(now, avoidWhenFull)
