--- a/core/lease/daemon_test.go
+++ b/core/lease/daemon_test.go
@@ -33,7 +33,7 @@
 	ending []*lease.Holder // stopped, the witnesses not told yet
 	next   mono.Time       // when to ask the witnesses again
 	lost   mono.Time       // since when a newer epoch has stopped it
-	anchor owner.Anchor
+	anchor owner.ClockSample
 	born   int // life of the server that the anchor is of; 0 without an anchor
 	pinged mono.Time
 	freed  map[ident.Shard]ident.Epoch
@@ -245,7 +245,7 @@
 // askReleases asks the home of each previous owner, and its standby, for what the gate wants.
 func (d *daemon) askReleases(i int) {
 	h := d.homes[i]
-	for _, want := range h.gate.Wants() {
+	for _, want := range h.gate.ReleaseRequests() {
 		if d.w.off[release] {
 			d.released(i, want)
 			continue
@@ -262,7 +262,7 @@
 				ask.Rev = 0
 			}
 			d.w.send(d, x, func() {
-				if x.homes[p].gate.Release(x.clock(), ask) {
+				if x.homes[p].gate.MayRelease(x.clock(), ask) {
 					d.w.reply(x, d, life, func() { d.released(i, want) })
 				}
 			})
@@ -270,8 +270,8 @@
 	}
 }
 
-func (d *daemon) released(i int, w owner.Want) {
-	d.homes[i].gate.Released(w.Shard, w.Epoch)
+func (d *daemon) released(i int, w owner.ReleaseRequest) {
+	d.homes[i].gate.SetReleased(w.Shard, w.Epoch)
 	d.homes[i].freed[w.Shard] = max(d.homes[i].freed[w.Shard], w.Epoch)
 }
 
@@ -300,7 +300,7 @@
 	}
 	until := now.Add(time.Duration(d.between(20*ms, 1400*ms)))
 	st, no := h.gate.Start(now, s, d.copy.shards[s].Epoch, until)
-	if no != owner.None {
+	if no != owner.NotRefused {
 		return
 	}
 	if d.w.off[withinLease] {
@@ -332,7 +332,7 @@
 		home: d.id, life: d.life, epoch: st.Epoch, shard: s, owned: owned, born: h.born,
 		deadline:  h.anchor.Deadline(st.Deadline, lease.DefaultTerms().Drift),
 		wall:      d.now + instant(st.Deadline.Sub(d.clock())),
-		remaining: owner.Stamp(st.Deadline.Sub(d.clock())),
+		remaining: owner.ServerTime(st.Deadline.Sub(d.clock())),
 	}
 	if d.w.off[inFlight] {
 		h.gate.Answered(st.Token)
@@ -361,9 +361,9 @@
 }
 
 // anchored takes a reading of the server's clock; a late one of an earlier life is left out.
-func (d *daemon) anchored(h *home, stamp owner.Stamp, born int) {
+func (d *daemon) anchored(h *home, stamp owner.ServerTime, born int) {
 	if born >= h.born {
-		h.anchor, h.born = owner.Anchor{Stamp: stamp, At: d.clock()}, born
+		h.anchor, h.born = owner.ClockSample{Stamp: stamp, At: d.clock()}, born
 	}
 }
 
--- a/core/lease/server_test.go
+++ b/core/lease/server_test.go
@@ -15,11 +15,11 @@
 	life      int // of that daemon
 	epoch     ident.Epoch
 	shard     ident.Shard
-	owned     ident.Epoch // of the shard
-	deadline  owner.Stamp // on the server's clock
-	wall      instant     // the deadline by the wall clock, for servers that know no other
-	remaining owner.Stamp // what was left when it was sent; used only with the rule of the stamp taken out
-	born      int         // life of the server that the deadline is for
+	owned     ident.Epoch      // of the shard
+	deadline  owner.ServerTime // on the server's clock
+	wall      instant          // the deadline by the wall clock, for servers that know no other
+	remaining owner.ServerTime // what was left when it was sent; used only with the rule of the stamp taken out
+	born      int              // life of the server that the deadline is for
 }
 
 // run is one line of a server's log while the request is at work.
@@ -42,7 +42,7 @@
 	running []*run
 }
 
-func (s *server) stamp() owner.Stamp { return owner.Stamp(s.clock()) }
+func (s *server) stamp() owner.ServerTime { return owner.ServerTime(s.clock()) }
 
 func (s *server) boot() {
 	s.begin()
--- a/core/owner/gate_test.go
+++ b/core/owner/gate_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// site is one witness and the time, enough to give gates their leases.
+// site is one witness and a clock, enough to grant leases to gates.
 type site struct {
 	now     mono.Time
 	witness *lease.Witness
@@ -43,12 +43,12 @@
 	return h
 }
 
-// renew asks for the lease from a copy of the document at the revision.
+// renew renews the lease with a copy of the document at the revision.
 func (h *homeOf) renew(rev ident.Rev) {
 	h.Answered(h.s.now, "w", h.s.witness.Ask(h.s.now, h.name, h.Ask(lease.Renew, rev)))
 }
 
-// Answered is the holder's; that of the gate is called by its full name.
+// Answered calls the holder's method; the gate's is called as h.Gate.Answered.
 func (h *homeOf) Answered(at mono.Time, d ident.Daemon, g lease.Give) { h.Holder.Answered(at, d, g) }
 
 func (h *homeOf) start(e ident.Epoch) (owner.Start, owner.Refusal) {
@@ -66,12 +66,12 @@
 		lease bool
 		want  owner.Refusal
 	}{
-		{"owner", mine, 3, true, owner.None},
+		{"owner", mine, 3, true, owner.NotRefused},
 		{"no lease", mine, 3, false, owner.NoLease},
 		{"older epoch", mine, 2, true, owner.Moved},
 		{"newer epoch", mine, 4, true, owner.Moved},
 		{"other owner", owner.Row{Owner: "svc/b", Epoch: 3}, 3, true, owner.Moved},
-		{"not released", owner.Row{Owner: "svc/a", Epoch: 3, Previous: "svc/b"}, 3, true, owner.Waiting},
+		{"not released", owner.Row{Owner: "svc/a", Epoch: 3, Previous: "svc/b"}, 3, true, owner.AwaitingRelease},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 			}
 			st, no := h.start(x.epoch)
 			require.Equal(t, x.want, no)
-			if no == owner.None {
+			if no == owner.NotRefused {
 				require.Equal(t, h.Until().Add(-h.Skew()), st.Deadline, "before the end of the lease by any clock")
 				require.EqualValues(t, 2, st.Epoch)
 			}
@@ -102,15 +102,15 @@
 	require.Equal(t, owner.Moved, no)
 }
 
-// The caller would have a swap registered by a server that the shard has left, or twice. The process is paused between
-// the check and the send, the lease lapses and another home serves the shard. A pause before Send is found by Send; one
-// after it by the server, since the deadline that travels with the request is a reading of the server's own clock.
+// The process is paused between the check and the send, the lease expires and another home serves the shard. The
+// request must not run at the previous owner, or twice. Send detects a pause before it; the server detects one after
+// it, since the deadline in the request is a reading of the server's own clock.
 func TestPauseBetweenCheckAndSend(t *testing.T) {
 	s := newSite()
 	h := s.home("d1", "svc/a", 2)
 	h.SetRows(1, rows(owner.Row{Owner: "svc/a", Epoch: 1}))
 	h.renew(1)
-	anchor := owner.Anchor{Stamp: owner.Stamp(5 * time.Second), At: s.now}
+	anchor := owner.ClockSample{Stamp: owner.ServerTime(5 * time.Second), At: s.now}
 
 	early, _ := h.start(1)
 	late, _ := h.start(1)
@@ -119,14 +119,14 @@
 	remaining := late.Deadline.Sub(s.now)
 
 	s.now = s.now.Add(2 * time.Second)
-	require.False(t, h.Send(s.now, early.Token), "certainly not run")
+	require.False(t, h.Send(s.now, early.Token), "not run")
 	next := s.home("d2", "svc/a", 3)
 	next.renew(1)
 	require.True(t, next.Holds(s.now))
 
-	arrives := owner.Stamp(7 * time.Second)
+	arrives := owner.ServerTime(7 * time.Second)
 	require.GreaterOrEqual(t, arrives, deadline, "the server refuses it")
-	require.Greater(t, arrives+owner.Stamp(remaining), arrives, "with a time that remains it would run")
+	require.Greater(t, arrives+owner.ServerTime(remaining), arrives, "with a remaining time it would run")
 }
 
 func TestSendAfterTheShardMoved(t *testing.T) {
@@ -137,7 +137,7 @@
 	st, _ := h.start(1)
 	h.SetRows(2, rows(owner.Row{Owner: "svc/b", Epoch: 2, Previous: "svc/a"}))
 	require.False(t, h.Send(s.now, st.Token))
-	require.True(t, h.Idle(s.now), "its token is gone")
+	require.True(t, h.Idle(s.now), "its token is no longer valid")
 }
 
 func TestMoveBetweenLiveHomes(t *testing.T) {
@@ -149,47 +149,47 @@
 		h.renew(1)
 	}
 	st, no := a.start(1)
-	require.Equal(t, owner.None, no)
+	require.Equal(t, owner.NotRefused, no)
 	require.True(t, a.Send(s.now, st.Token))
 
 	two, err := one.Move("svc/b")
 	require.NoError(t, err)
 	b.SetRows(2, rows(two))
 	_, no = b.start(2)
-	require.Equal(t, owner.Waiting, no)
-	want := []owner.Want{{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}}
-	require.Equal(t, want, b.Wants())
+	require.Equal(t, owner.AwaitingRelease, no)
+	want := []owner.ReleaseRequest{{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}}
+	require.Equal(t, want, b.ReleaseRequests())
 	b.SetRows(3, rows(two))
-	require.Equal(t, want, b.Wants(), "the revision is that of the first copy with the row")
+	require.Equal(t, want, b.ReleaseRequests(), "the revision is that of the first copy with the row")
 
-	require.False(t, a.Release(s.now, want[0]), "it has not heard of the move")
+	require.False(t, a.MayRelease(s.now, want[0]), "its copy does not contain the move")
 	a.SetRows(2, rows(two))
-	require.False(t, a.Release(s.now, want[0]), "the revision is not recorded")
+	require.False(t, a.MayRelease(s.now, want[0]), "the revision is not recorded")
 	a.renew(2)
-	require.False(t, a.Release(s.now, want[0]), "one request is in flight")
+	require.False(t, a.MayRelease(s.now, want[0]), "one request is in flight")
 	a.Gate.Answered(st.Token)
-	require.True(t, a.Release(s.now, want[0]))
+	require.True(t, a.MayRelease(s.now, want[0]))
 	_, no = a.start(1)
 	require.Equal(t, owner.Moved, no)
 
-	b.Released(0, 2)
-	require.Empty(t, b.Wants())
+	b.SetReleased(0, 2)
+	require.Empty(t, b.ReleaseRequests())
 	_, no = b.start(2)
-	require.Equal(t, owner.None, no)
+	require.Equal(t, owner.NotRefused, no)
 }
 
 func TestReleaseIsRefused(t *testing.T) {
 	moved := owner.Row{Owner: "svc/b", Epoch: 2, Previous: "svc/a"}
-	want := owner.Want{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}
+	want := owner.ReleaseRequest{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}
 	tests := []struct {
 		name  string
 		row   owner.Row
-		want  owner.Want
+		want  owner.ReleaseRequest
 		lease bool
 	}{
 		{"without the lease", moved, want, false},
-		{"for another server", moved, owner.Want{Epoch: 2, Previous: "svc/c", Rev: 2}, true},
-		{"of a copy that is newer than this one", moved, owner.Want{Epoch: 2, Previous: "svc/a", Rev: 9}, true},
+		{"for another server", moved, owner.ReleaseRequest{Epoch: 2, Previous: "svc/c", Rev: 2}, true},
+		{"of a copy that is newer than this one", moved, owner.ReleaseRequest{Epoch: 2, Previous: "svc/a", Rev: 9}, true},
 		{"for an older move, when the shard is back", owner.Row{Owner: "svc/a", Epoch: 3, Previous: "svc/b"}, want, true},
 		{"for an older move, when it was released again", owner.Row{Owner: "svc/a", Epoch: 3}, want, true},
 		{"for a move that has ended", moved.Released(), want, true},
@@ -202,14 +202,14 @@
 			if x.lease {
 				h.renew(5)
 			}
-			require.False(t, h.Release(s.now, x.want))
+			require.False(t, h.MayRelease(s.now, x.want))
 		})
 	}
 }
 
-// The caller would see one shard on two servers. A request gets no answer and its caller gives up; the server is still
-// working on it when the shard moves. It counts as in flight until its deadline, whoever waits for it.
-func TestRequestWithoutAnswerHoldsBackTheRelease(t *testing.T) {
+// A request gets no response and its caller gives up; the server is still working on it when the shard moves. It counts
+// as in flight until its deadline, or the shard would be served by two servers.
+func TestRequestWithoutResponseDelaysRelease(t *testing.T) {
 	s := newSite()
 	h := s.home("d1", "svc/a", 2)
 	h.SetRows(1, rows(owner.Row{Owner: "svc/a", Epoch: 1}))
@@ -218,24 +218,24 @@
 	require.True(t, h.Send(s.now, st.Token))
 	h.SetRows(2, rows(owner.Row{Owner: "svc/b", Epoch: 2, Previous: "svc/a"}))
 	h.renew(2)
-	w := owner.Want{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}
+	w := owner.ReleaseRequest{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}
 	s.now = s.now.Add(700*ms + h.Skew() - 1)
 	h.renew(2)
-	require.False(t, h.Release(s.now, w), "the server's clock may be behind")
+	require.False(t, h.MayRelease(s.now, w), "the server's clock may be behind")
 	s.now = s.now.Add(1)
-	require.True(t, h.Release(s.now, w))
+	require.True(t, h.MayRelease(s.now, w))
 }
 
-// The caller would see one shard on two servers. The home releases a shard and dies; its standby has a copy of the
-// document from before the move and takes the shard for its server's. The witnesses tell it that its copy is too old.
-func TestStandbyWithAnOldCopyTakesOver(t *testing.T) {
+// The home releases a shard and crashes; its standby has a copy of the document from before the move and would serve the
+// shard at a second server. The witnesses report to it that its copy is too old.
+func TestStandbyWithOutdatedCopyTakesOver(t *testing.T) {
 	s := newSite()
 	home, standby := s.home("d1", "svc/a", 2), s.home("d2", "svc/a", 3)
 	standby.SetRows(1, rows(owner.Row{Owner: "svc/a", Epoch: 1}))
 	moved := rows(owner.Row{Owner: "svc/b", Epoch: 2, Previous: "svc/a"})
 	home.SetRows(2, moved)
 	home.renew(2)
-	require.True(t, home.Release(s.now, owner.Want{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}))
+	require.True(t, home.MayRelease(s.now, owner.ReleaseRequest{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}))
 
 	s.now = s.now.Add(lease.DefaultTerms().Lapse())
 	standby.renew(1)
@@ -246,18 +246,18 @@
 	_, no = standby.start(1)
 	require.Equal(t, owner.Moved, no)
 	standby.renew(2)
-	require.True(t, standby.Release(s.now, owner.Want{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}), "it answers for the old home")
+	require.True(t, standby.MayRelease(s.now, owner.ReleaseRequest{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}), "the standby releases for the old home")
 }
 
-// The caller would see one shard on two servers. It moves from a to b and at once on to c; b never heard that it owned
-// the shard and has nothing in flight, while a is still at work on it. So it moves on only when a has released it.
+// A shard moves from a to b and at once on to c. b never received its ownership and has nothing in flight, while a still
+// works on the shard, so two servers would serve it. The second move is refused until a has released the shard.
 func TestMoveOnBeforeTheRelease(t *testing.T) {
 	r, err := owner.Row{Owner: "svc/a", Epoch: 1}.Move("svc/b")
 	require.NoError(t, err)
 	_, err = r.Move("svc/c")
-	require.ErrorIs(t, err, owner.ErrMoving)
+	require.ErrorIs(t, err, owner.ErrMoveInProgress)
 	_, err = r.Move("svc/a")
-	require.ErrorIs(t, err, owner.ErrMoving)
+	require.ErrorIs(t, err, owner.ErrMoveInProgress)
 	r, err = r.Released().Move("svc/c")
 	require.NoError(t, err)
 	require.Equal(t, owner.Row{Owner: "svc/c", Epoch: 3, Previous: "svc/b"}, r)
@@ -266,7 +266,7 @@
 	require.Equal(t, r.Released(), same)
 }
 
-func TestGateKeepsWhatIsInFlightOverEpochs(t *testing.T) {
+func TestGateKeepsInFlightOverEpochs(t *testing.T) {
 	s := newSite()
 	h := s.home("d1", "svc/a", 2)
 	h.SetRows(1, rows(owner.Row{Owner: "svc/a", Epoch: 1}))
@@ -278,10 +278,10 @@
 	h.SetHolder(h.Holder)
 	h.SetRows(2, rows(owner.Row{Owner: "svc/b", Epoch: 2, Previous: "svc/a"}))
 	h.renew(2)
-	w := owner.Want{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}
-	require.False(t, h.Release(s.now, w))
+	w := owner.ReleaseRequest{Shard: 0, Epoch: 2, Previous: "svc/a", Rev: 2}
+	require.False(t, h.MayRelease(s.now, w))
 	h.Gate.Answered(st.Token)
-	require.True(t, h.Release(s.now, w))
+	require.True(t, h.MayRelease(s.now, w))
 }
 
 func TestAnchorDeadlineIsNeverLate(t *testing.T) {
@@ -289,11 +289,11 @@
 	at := mono.Time(time.Hour)
 	for _, home := range []float64{1 - drift, 1, 1 + drift} {
 		for _, server := range []float64{1 - drift, 1, 1 + drift} {
-			// The home's clock reads until after real time x; the server's has gone on by what is below.
+			// The home's clock reads until after real time x; the server's advances by x*server meanwhile.
 			until := at.Add(1500 * ms)
 			x := float64(1500*ms) / home
-			reads := owner.Stamp(7*time.Second) + owner.Stamp(x*server)
-			d := owner.Anchor{Stamp: owner.Stamp(7 * time.Second), At: at}.Deadline(until, drift)
+			reads := owner.ServerTime(7*time.Second) + owner.ServerTime(x*server)
+			d := owner.ClockSample{Stamp: owner.ServerTime(7 * time.Second), At: at}.Deadline(until, drift)
 			require.LessOrEqual(t, d, reads, "home %v server %v", home, server)
 		}
 	}
@@ -306,9 +306,9 @@
 	h.renew(1)
 	s.now = h.Until().Add(-h.Skew() - 1)
 	_, no := h.start(1)
-	require.Equal(t, owner.None, no)
+	require.Equal(t, owner.NotRefused, no)
 	s.now = s.now.Add(1)
 	_, no = h.start(1)
-	require.Equal(t, owner.NoLease, no, "no time is left to tell a server whose clock is behind")
+	require.Equal(t, owner.NoLease, no, "no time left for a server whose clock is behind")
 	require.True(t, h.Holds(s.now))
 }
--- a/core/owner/owner.go
+++ b/core/owner/owner.go
@@ -1,5 +1,5 @@
-// Package owner is the home's gate for the shards of a keyed service: it decides whether a request on a shard may
-// start now, and when a shard that has moved away is released to its next owner.
+// Package owner decides at the home of a keyed server whether a request on a shard may start now, and when a shard
+// that was moved away is released to its next owner.
 package owner
 
 import (
@@ -8,32 +8,32 @@
 	"heatherrouter/core/ident"
 )
 
-// Row is the table's decision who owns a shard.
+// Row is the ownership of one shard as committed in the table.
 type Row struct {
 	Owner    ident.Server
 	Epoch    ident.Epoch
-	Previous ident.Server // must release the shard before the owner starts; empty when it has
+	Previous ident.Server // must release the shard before the owner starts; empty once it has
 }
 
-// ErrMoving tells that the last move of a shard has not ended yet.
-var ErrMoving = errors.New("the previous owner has not released the shard")
+// ErrMoveInProgress means that the last move of a shard has not ended.
+var ErrMoveInProgress = errors.New("the previous owner has not released the shard")
 
 // Move returns the row after a move to another server.
 //
-// A shard moves on only when its last move has ended: the owner in the middle may never have heard that it owned the
-// shard, and would release it while the one before it is still at work.
+// A shard moves on only when its last move has ended: the intermediate owner may never have received its ownership,
+// and would release the shard while the owner before it still works on it.
 func (r Row) Move(to ident.Server) (Row, error) {
 	if to == r.Owner {
 		return r, nil
 	}
 	if r.Previous != "" {
-		return r, ErrMoving
+		return r, ErrMoveInProgress
 	}
 	return Row{Owner: to, Epoch: r.Epoch + 1, Previous: r.Owner}, nil
 }
 
-// Released returns the row after the home of the previous owner has answered that it released the shard at this
-// epoch. The coordinator asks for the release itself, with the same Want as the owner.
+// Released returns the row after the home of the previous owner has confirmed that it released the shard at this
+// epoch. The coordinator requests the release itself, with the same ReleaseRequest as the owner.
 func (r Row) Released() Row {
 	r.Previous = ""
 	return r
--- a/io/home/exchange.go
+++ b/io/home/exchange.go
@@ -175,7 +175,7 @@
 	// Asked before a slot is: a request that waits for its shard and tries again every few milliseconds would else use up
 	// the starts that a ramp allows, and keep everybody else from a server that has just come back.
 	no := h.gate.Check(h.o.Clock.Now(), ident.Shard(j.x.GetShard()), ident.Epoch(j.x.GetShardEpoch()))
-	if no != owner.None {
+	if no != owner.NotRefused {
 		return h.gated(j, no)
 	}
 	return nil, false
@@ -194,7 +194,7 @@
 		return h.moved(reasonNoLease), true
 	}
 	s, no := h.gate.Start(now, ident.Shard(j.x.GetShard()), ident.Epoch(j.x.GetShardEpoch()), j.deadline)
-	if no == owner.None {
+	if no == owner.NotRefused {
 		j.token, j.epoch, j.deadline = s.Token, s.Epoch, s.Deadline
 		h.open++
 		h.hot.Add(now, ident.Shard(j.x.GetShard()))
@@ -207,7 +207,7 @@
 // gated answers what the gate refuses; again says that the reason will pass by itself soon.
 func (h *Home) gated(j *job, no owner.Refusal) (a *wire.ExchangeAnswer, again bool) {
 	switch no {
-	case owner.Waiting:
+	case owner.AwaitingRelease:
 		return h.moved(reasonWaiting), true
 	case owner.NoLease:
 		return h.moved(reasonNoLease), true
--- a/io/home/release.go
+++ b/io/home/release.go
@@ -35,21 +35,21 @@
 }
 
 // wants returns the shards to ask for, by their last owner.
-func (h *Home) wants() map[ident.Server][]owner.Want {
+func (h *Home) wants() map[ident.Server][]owner.ReleaseRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.holder == nil || !h.holder.Holds(h.o.Clock.Now()) {
 		return nil
 	}
-	m := map[ident.Server][]owner.Want{}
-	for _, w := range h.gate.Wants() {
+	m := map[ident.Server][]owner.ReleaseRequest{}
+	for _, w := range h.gate.ReleaseRequests() {
 		m[w.Previous] = append(m[w.Previous], w)
 	}
 	return m
 }
 
 // askRelease asks the daemon that holds the last owner's lease: its home, or the standby that took over.
-func (s *Homes) askRelease(c context.Context, h *Home, prev ident.Server, l []owner.Want) {
+func (s *Homes) askRelease(c context.Context, h *Home, prev ident.Server, l []owner.ReleaseRequest) {
 	p := s.o.View.Get().Part(prev.Service())
 	if p == nil {
 		return
@@ -87,7 +87,7 @@
 	return r.GetRelease()
 }
 
-func (h *Home) take(l []owner.Want, a *wire.ReleaseAnswer) {
+func (h *Home) take(l []owner.ReleaseRequest, a *wire.ReleaseAnswer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	free := map[ident.Shard]bool{}
@@ -96,7 +96,7 @@
 	}
 	for _, w := range l {
 		if free[w.Shard] {
-			h.gate.Released(w.Shard, w.Epoch)
+			h.gate.SetReleased(w.Shard, w.Epoch)
 			h.released[w.Shard] = w.Epoch
 		}
 	}
@@ -113,11 +113,11 @@
 	now := h.o.Clock.Now()
 	a := &wire.ReleaseAnswer{Holder: h.holder != nil && h.holder.Holds(now)}
 	for _, x := range m.GetShards() {
-		w := owner.Want{
+		w := owner.ReleaseRequest{
 			Shard: ident.Shard(x.GetShard()), Epoch: ident.Epoch(x.GetEpoch()),
 			Previous: h.id, Rev: ident.Rev(m.GetRev()),
 		}
-		if h.gate.Release(now, w) {
+		if h.gate.MayRelease(now, w) {
 			a.Released = append(a.Released, x.GetShard())
 		}
 	}
