--- a/core/docs/docs.go
+++ b/core/docs/docs.go
@@ -1,7 +1,7 @@
-// Package docs is the replicated document: rows with revisions that every daemon holds a copy of.
+// Package docs implements the replicated document: rows with revisions, of which every daemon holds a copy.
 //
-// The table is the only place where a document changes, one transaction a revision. Copies move forward
-// only: applying a delta of an older revision changes nothing, so deltas may arrive late, twice or out of order.
+// A document changes only in the table, by one transaction per revision. Copies only move forward: applying
+// a delta of an older revision has no effect, so deltas may arrive late, twice or out of order.
 package docs
 
 import (
@@ -11,7 +11,7 @@
 	"heatherrouter/core/ident"
 )
 
-// Row is one row at the revision that last changed it; an empty Body means that it was removed.
+// Row is one row at the revision that last changed it; an empty Body marks a deleted row.
 type Row struct {
 	Rev  ident.Rev
 	Body []byte
@@ -24,7 +24,7 @@
 	Rows map[ident.Row]Row
 }
 
-// Change is one row of a transaction; an empty Body removes the row.
+// Change is one row of a transaction; an empty Body deletes the row.
 type Change struct {
 	Row  ident.Row
 	Body []byte
@@ -43,7 +43,7 @@
 	return &Doc{Name: n, Rows: map[ident.Row]Row{}}
 }
 
-// Since returns what changed after revision r.
+// Since returns the rows that changed after revision r.
 func (d *Doc) Since(r ident.Rev) Delta {
 	x := Delta{Name: d.Name, From: r, Rev: d.Rev, Rows: map[ident.Row]Row{}}
 	for k, v := range d.Rows {
@@ -54,9 +54,9 @@
 	return x
 }
 
-// Apply returns the document after the delta, leaving d as it is, and whether anything changed.
+// Apply returns the document after the delta, leaving d unchanged, and whether anything changed.
 //
-// A delta that starts after d.Rev is refused: rows changed in between would be lost without a trace,
+// A delta that starts after d.Rev is refused: rows that changed in between would be lost undetected,
 // and the copy would then claim a revision that it doesn't hold.
 func (d *Doc) Apply(x Delta) (*Doc, bool) {
 	if x.Name != d.Name || x.Rev <= d.Rev || x.From > d.Rev {
@@ -71,12 +71,12 @@
 	return n, true
 }
 
-// Body returns the body of a row, or nil when there is none.
+// Body returns the body of a row, or nil if there is none.
 func (d *Doc) Body(r ident.Row) []byte {
 	return d.Rows[r].Body
 }
 
-// Names returns the names of the rows that have a body and the prefix, sorted.
+// Names returns the sorted names of the rows that have a body and the prefix.
 func (d *Doc) Names(prefix string) []ident.Row {
 	var l []ident.Row
 	for k, v := range d.Rows {
--- a/core/docs/docs_test.go
+++ b/core/docs/docs_test.go
@@ -31,7 +31,7 @@
 			n, changed := base.Apply(tt.delta)
 			require.Equal(t, tt.changed, changed)
 			require.Equal(t, tt.body, string(n.Body("x")))
-			require.Equal(t, "old", string(base.Body("x")), "the older copy must not change")
+			require.Equal(t, "old", string(base.Body("x")), "Apply must not change its receiver")
 		})
 	}
 }
