--- a/core/admit/admit.go
+++ b/core/admit/admit.go
@@ -31,26 +31,26 @@
 
 // Server is the admission control of one backend server at its home.
 type Server struct {
-	options       Options
-	next          Ticket
-	inFlight      []entry
-	abandoned     []entry     // abandoned exchanges that the server may still work on
-	held          []mono.Time // for each slot of an abandoned exchange, when it is free again
-	queue         queue
-	requestIDs    idTable
-	ramp          ramp
-	speed         speed
-	health        health
-	rate          rate
-	draining      bool
-	errors        int // consecutive failed responses
-	incarnation   ident.Incarnation
-	incarnationAt mono.Time // when the incarnation was first observed
-	suspect       bool      // the server may have restarted; limited to one exchange until it has responded
-	suspectAt     mono.Time
-	peers         []time.Duration
-	peersAt       mono.Time
-	ages          []time.Duration // reused buffer
+	options             Options
+	next                Ticket
+	inFlight            []entry
+	abandoned           []entry     // abandoned exchanges that the server may still work on
+	held                []mono.Time // for each slot of an abandoned exchange, when it is free again
+	queue               queue
+	requestIDs          idTable
+	ramp                ramp
+	speed               speed
+	health              health
+	rate                rate
+	draining            bool
+	consecutiveFailures int // failed responses in a row
+	incarnation         ident.Incarnation
+	incarnationAt       mono.Time // when the incarnation was first observed
+	suspect             bool      // the server may have restarted; limited to one exchange until it has responded
+	suspectAt           mono.Time
+	peers               []time.Duration
+	peersAt             mono.Time
+	ages                []time.Duration // reused buffer
 }
 
 // New returns the state for a server that this home has just taken over: it may be cold, so the ramp starts.
@@ -282,7 +282,7 @@
 	}
 	switch r.End {
 	case EndAnswered:
-		s.errors = 0
+		s.consecutiveFailures = 0
 		s.rate.add(now)
 		s.sample(e, d)
 		s.health.answered(now)
@@ -315,9 +315,9 @@
 // which fails fast and would attract all the work if it counted as fast and free.
 func (s *Server) failed(now mono.Time) {
 	s.health.answered(now)
-	s.errors++
-	if s.errors >= burst {
-		s.errors = 0
+	s.consecutiveFailures++
+	if s.consecutiveFailures >= burst {
+		s.consecutiveFailures = 0
 		s.restart(now)
 	}
 }
--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -259,7 +259,7 @@
 
 // A server that was just taken over has one slot, and even that is rate-limited: it may be cold, and one busy slot
 // can exceed its capacity.
-func TestFirstStepsArePaced(t *testing.T) {
+func TestFirstStepsAreRateLimited(t *testing.T) {
 	s := New(0, Options{Slots: 3})
 	require.LessOrEqual(t, steady(t, s, 0, 400*ms, 12*time.Millisecond, 10*time.Millisecond), 8, "of 34")
 	require.Equal(t, 1, s.ramp.open())
@@ -279,11 +279,11 @@
 func TestEarlierResponsesDontCount(t *testing.T) {
 	r := newRamp(0, 3)
 	r.jump(sec, 2)
-	for range 10 * slotAnswers {
+	for range 10 * slotResponses {
 		r.answered(10*sec, sec-1)
 	}
 	require.Equal(t, 2, r.open())
-	for range slotAnswers {
+	for range slotResponses {
 		r.answered(10*sec, sec)
 	}
 	require.Equal(t, 3, r.open())
--- a/core/admit/health_test.go
+++ b/core/admit/health_test.go
@@ -133,7 +133,7 @@
 func TestProvenAtPreviousHome(t *testing.T) {
 	for _, x := range []struct {
 		reported ProbeResult
-		open int
+		open     int
 	}{
 		{ProbeResult{Alive: true, Incarnation: 5}, 3},
 		{ProbeResult{Alive: true, Incarnation: 6}, 1},
--- a/core/admit/ramp.go
+++ b/core/admit/ramp.go
@@ -10,23 +10,23 @@
 // The next step requires both the responses and the time: responses alone would complete the steps within
 // moments on cheap requests, time alone would open slots without evidence.
 type step struct {
-	slots   int
-	duty    float64
-	answers int
-	time    time.Duration
+	slots     int
+	duty      float64
+	responses int
+	time      time.Duration
 }
 
 const (
-	paceAnswers = 4
-	paceTime    = 150 * time.Millisecond
-	slotAnswers = 32
-	slotTime    = time.Second
+	rateLimitedResponses = 4
+	rateLimitedTime      = 150 * time.Millisecond
+	slotResponses        = 32
+	slotTime             = time.Second
 
-	// Refusals and resets add 1 to a score that each response lowers by answerCredit. Up to one in nine is noise;
+	// Refusals and resets add 1 to a score that each response lowers by responseCredit. Up to one in nine is noise;
 	// more goes back a step, and a burst is treated as a cold restart.
-	answerCredit = 0.125
-	backScore    = 2
-	burst        = 3
+	responseCredit = 0.125
+	stepBackScore  = 2
+	burst          = 3
 
 	// The warm-up time of a server is unknown. Each collapse during the ramp, or soon after it, doubles what a step
 	// requires, up to maxBackoff times, so that the same collapse doesn't recur.
@@ -35,7 +35,7 @@
 	// stableAfter is how long a server must carry its full load before the backoff is halved.
 	stableAfter = time.Minute
 
-	maxGap = 500 * time.Millisecond // between the starts of a paced step
+	maxGap = 500 * time.Millisecond // between the starts of a rate-limited step
 )
 
 // ramp opens a server's slots one by one, each after enough successful responses.
@@ -56,10 +56,10 @@
 func newRamp(now mono.Time, slots int) ramp {
 	r := ramp{since: now, backoff: 1}
 	for _, d := range []float64{0.15, 0.35, 0.7} {
-		r.steps = append(r.steps, step{1, d, paceAnswers, paceTime})
+		r.steps = append(r.steps, step{1, d, rateLimitedResponses, rateLimitedTime})
 	}
 	for i := 1; i <= slots; i++ {
-		r.steps = append(r.steps, step{i, 1, slotAnswers, slotTime})
+		r.steps = append(r.steps, step{i, 1, slotResponses, slotTime})
 	}
 	return r
 }
@@ -110,7 +110,7 @@
 // answered counts a successful response. A response to work that was started at an earlier step is no evidence
 // for this one.
 func (r *ramp) answered(now, started mono.Time) {
-	r.score = max(r.score-answerCredit, 0)
+	r.score = max(r.score-responseCredit, 0)
 	if started.Before(r.since) {
 		return
 	}
@@ -122,7 +122,7 @@
 	}
 	r.proven++
 	s := r.steps[r.at]
-	if r.proven >= s.answers*r.backoff && now.Sub(r.since) >= s.time*time.Duration(r.backoff) {
+	if r.proven >= s.responses*r.backoff && now.Sub(r.since) >= s.time*time.Duration(r.backoff) {
 		r.at++
 		r.proven, r.since = 0, now
 	}
@@ -136,7 +136,7 @@
 	switch {
 	case r.score >= burst:
 		return true
-	case r.score >= backScore:
+	case r.score >= stepBackScore:
 		r.at = max(r.at-1, 0)
 		r.proven, r.since = 0, now
 	}
--- a/core/owner/gate_test.go
+++ b/core/owner/gate_test.go
@@ -284,7 +284,7 @@
 	require.True(t, h.MayRelease(s.now, w))
 }
 
-func TestAnchorDeadlineIsNeverLate(t *testing.T) {
+func TestClockSampleDeadlineIsNeverLate(t *testing.T) {
 	const drift = 0.01
 	at := mono.Time(time.Hour)
 	for _, home := range []float64{1 - drift, 1, 1 + drift} {
