--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -10,12 +10,12 @@
 	"heatherrouter/core/mono"
 )
 
-// Clock reads the time of one process.
+// Clock measures the monotonic time of one process.
 type Clock struct {
 	start time.Time
 }
 
-// New returns a clock that starts now, a little above zero so that a zero Time lies in the past.
+// New returns a clock that reads one hour now, so that a zero Time is in the past.
 func New() *Clock {
 	return &Clock{start: time.Now().Add(-time.Hour)}
 }
@@ -25,27 +25,27 @@
 	return mono.Time(time.Since(c.start))
 }
 
-// Wall returns the wall-clock time of a monotonic time, for deadlines told to backend servers.
-func (c *Clock) Wall(t mono.Time) time.Time {
+// WallTime converts a monotonic time to wall-clock time, for deadlines sent to backend servers.
+func (c *Clock) WallTime(t mono.Time) time.Time {
 	return time.Now().Add(t.Sub(c.Now()))
 }
 
-// Std returns t for the deadlines of the standard library, which counts them by the monotonic clock too.
-func (c *Clock) Std(t mono.Time) time.Time {
+// StdTime converts t for deadlines of the standard library, which also uses the monotonic clock for them.
+func (c *Clock) StdTime(t mono.Time) time.Time {
 	return c.start.Add(time.Duration(t))
 }
 
-// Boot returns the time since the host was started. Other than Now it counts the time for which the host was suspended,
-// and costs a system call: it is for rights that others count on to have lapsed.
-func (c *Clock) Boot() time.Duration {
+// SinceBoot returns the time since the host was started. Unlike Now it includes the time for which the host was
+// suspended, and it costs a system call. Use it for rights that other daemons rely on to have expired.
+func (c *Clock) SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Since(c.start) // no kernel in use lacks the clock
+		return time.Since(c.start) // not reached: all supported kernels have this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// Sleep waits, at most until the context ends.
+// Sleep waits for d, at most until the context ends.
 func Sleep(c context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/io/conns/bench_test.go
+++ b/io/conns/bench_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// BenchmarkHostClient is what fasthttp's own client takes for the same, without certain outcomes.
+// BenchmarkHostClient measures the same exchange with fasthttp's own client, which does not report certain outcomes.
 func BenchmarkHostClient(b *testing.B) {
 	c := &fasthttp.HostClient{Addr: echoServer(b).Addr.String()}
 	req, resp := get("/tabelid/1"), &fasthttp.Response{}
--- a/io/conns/conn.go
+++ b/io/conns/conn.go
@@ -18,38 +18,39 @@
 )
 
 const (
-	readBuffer  = 16 << 10 // bounds the header of an answer
+	readBuffer  = 16 << 10 // bytes; also the limit for a response header
 	writeBuffer = 4 << 10
 
-	// earlyAnswer is how long to look for an answer after a write failed: a server may refuse a large body
-	// and close before it has read it.
-	earlyAnswer = 50 * time.Millisecond
+	// earlyResponseWait is how long to wait for a response after a failed write: a server may refuse a large body and
+	// close before it has read it.
+	earlyResponseWait = 50 * time.Millisecond
 
-	// othersAnswered is how many exchanges must have been answered since an exchange was sent to call its
-	// connection silent. It is more than the slots of a server, so that some of them were sent later.
-	othersAnswered = 6
+	// minLaterResponses is the number of responses on other connections, since an exchange was sent, after which its
+	// connection is considered unresponsive. It exceeds the slots of a server, so some of these exchanges were sent
+	// later.
+	minLaterResponses = 6
 
-	tcpUserTimeout = 18 // TCP_USER_TIMEOUT, which package syscall lacks
+	tcpUserTimeout = 18 // TCP_USER_TIMEOUT, missing in package syscall
 
-	keepAliveEvery = time.Second
-	keepAliveCount = 3
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
 )
 
-// conn is one connection with at most one exchange at a time.
+// conn is one connection; it carries at most one exchange at a time.
 type conn struct {
-	net        *net.TCPConn
-	raw        syscall.RawConn
-	br         *bufio.Reader
-	bw         *bufio.Writer
-	stall      time.Duration // bounds each write of a streamed body; 0 while the deadline does
-	wrote      bool          // some byte of the present request was taken
-	writeErr   error         // of the present request; nil when sending failed on our side of the connection
-	broken     bool          // must not be used again
-	unanswered bool          // the present request has no whole answer
-	used       bool          // had an exchange
-	idleSince  time.Time
-
-	// stopCancel ends the watch for cancellation, and returns false when that came first.
+	net          *net.TCPConn
+	raw          syscall.RawConn
+	br           *bufio.Reader
+	bw           *bufio.Writer
+	stallTimeout time.Duration // limit for each write of a streamed body; 0 where only the deadline applies
+	wrote        bool          // the connection accepted some byte of the current request
+	writeErr     error         // of the current request; nil if sending failed before the connection
+	broken       bool          // must not be reused
+	unanswered   bool          // the current request has no whole response
+	used         bool          // has completed an exchange
+	idleSince    time.Time
+
+	// stopCancel stops closing the connection on cancellation; false if the cancellation came first.
 	stopCancel func() bool
 
 	peekFunc func(fd uintptr)
@@ -62,7 +63,7 @@
 		Timeout:  p.options.DialTimeout,
 		Deadline: deadline,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: keepAliveCount,
+			Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return setUserTimeout(raw, p.options.StallTimeout)
@@ -84,8 +85,8 @@
 	return c, nil
 }
 
-// setUserTimeout makes the kernel give up a connection whose bytes are not acknowledged. Something between
-// the two ends may have lost track of it; without it, writes seem to succeed for many minutes.
+// setUserTimeout makes the kernel abort a connection whose bytes are not acknowledged. A middlebox may have lost the
+// connection state; writes would then seem to succeed for many minutes.
 func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
 	var err error
 	errc := raw.Control(func(fd uintptr) {
@@ -94,10 +95,10 @@
 	return errors.Join(errc, err)
 }
 
-// Write counts what the connection took, since that decides between not run and unknown.
+// Write records whether the connection accepted any byte: this decides between the outcomes not run and unknown.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.stall > 0 {
-		if err := c.net.SetWriteDeadline(time.Now().Add(c.stall)); err != nil {
+	if c.stallTimeout > 0 {
+		if err := c.net.SetWriteDeadline(time.Now().Add(c.stallTimeout)); err != nil {
 			return 0, err
 		}
 	}
@@ -111,8 +112,8 @@
 	return n, err
 }
 
-// alive looks whether the server has closed the idle connection, without waiting. A request written to a
-// half-closed one is taken by the kernel and lost, which leaves its outcome unknown.
+// alive reports, without waiting, whether an idle connection is still open and has no unread bytes. The kernel
+// accepts a request on a half-closed connection and loses it, which leaves its outcome unknown.
 func (c *conn) alive() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -127,11 +128,11 @@
 
 func (c *conn) peek(fd uintptr) {
 	_, _, err := syscall.Recvfrom(int(fd), c.peekByte[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT) //nolint:gosec // a descriptor
-	c.peekOpen = errors.Is(err, syscall.EAGAIN)                                                  // anything else is an end or bytes that nobody asked for
+	c.peekOpen = errors.Is(err, syscall.EAGAIN)                                                  // any other result is end of file, an error or unsolicited bytes
 }
 
-// close ends the connection. With an exchange unanswered it is reset: bytes that something on the way holds up would
-// else be delivered after the sender has given up, when what they ask for may be somebody else's.
+// close closes the connection. With an exchange unanswered it sends a reset: otherwise bytes delayed in the network
+// could be delivered after the sender has given up, when this home may no longer own what the request is for.
 func (c *conn) close() {
 	c.broken = true
 	if c.unanswered {
@@ -140,35 +141,36 @@
 	_ = c.net.Close()
 }
 
-// reusable reports whether the next answer on the connection can only belong to the next request.
+// reusable reports whether the next response on the connection can only belong to the next request.
 func (c *conn) reusable() bool {
 	return !c.broken && c.br.Buffered() == 0
 }
 
-// do runs one exchange. After any result with an error the connection must be discarded.
+// do runs one exchange. The connection must be discarded after a result with an error, except ErrGuard on an unbroken
+// one, before which nothing was written.
 func (c *conn) do(ctx context.Context, p *Pool, call Call, req *fasthttp.Request, resp *fasthttp.Response, streamed bool) Result {
 	c.wrote, c.writeErr, c.unanswered = false, nil, true
 	if err := ctx.Err(); err != nil {
 		return c.failure(true, err)
 	}
-	c.cancelWith(ctx)
-	if err := c.settle(call); err != nil {
+	c.closeOnCancel(ctx)
+	if err := c.waitForReset(call); err != nil {
 		c.stopCancel()
 		return c.failure(ctx.Err() != nil, err)
 	}
 	var ours bool
 	var err error
-	if !req.IsBodyStream() && len(req.Body()) > earlyBody {
+	if !req.IsBodyStream() && len(req.Body()) > concurrentBodySize {
 		err = c.exchangeLarge(p, call, req, resp)
 	} else {
 		err = c.send(p, call, req)
-		ours = err != nil && c.writeErr == nil // the guard, or the caller's body was cut
+		ours = err != nil && c.writeErr == nil // the guard refused, or the caller's body was truncated
 		if err == nil || c.wrote && c.writeErr != nil && !isTimeout(err) && ctx.Err() == nil {
 			err = c.receive(p, call, req, resp, streamed, err)
 		}
 	}
 	if (!streamed || err != nil) && !c.stopCancel() {
-		c.broken = true // the cancellation runs or has run, and closes the connection
+		c.broken = true // the cancellation is closing or has closed the connection
 	}
 	if err != nil {
 		ours = ours || ctx.Err() != nil || errors.Is(err, ErrNoLength) || errors.Is(err, fasthttp.ErrBodyTooLarge)
@@ -178,37 +180,39 @@
 		c.broken = true
 	}
 	c.unanswered = streamed
-	p.answers.Add(1)
-	return answer(resp, p.options.Names)
+	p.responses.Add(1)
+	return classify(resp, p.options.Names)
 }
 
-// settle waits for a reset of a new connection.
-func (c *conn) settle(call Call) error {
-	if c.used || call.Settle == 0 {
+// waitForReset waits on a new connection for a reset by the server.
+func (c *conn) waitForReset(call Call) error {
+	if c.used || call.ResetWait == 0 {
 		return nil
 	}
-	if err := c.net.SetReadDeadline(time.Now().Add(call.Settle)); err != nil {
+	if err := c.net.SetReadDeadline(time.Now().Add(call.ResetWait)); err != nil {
 		return err
 	}
 	if _, err := c.br.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		return err // nil where the server speaks first: reading the answer finds out what that is
+		return err // nil if the server sent bytes first: reading the response handles them
 	}
-	// A long body is sent while the answer is read, so the time of this look must be over for both.
+	// A large body is sent while the response is read, so the short read deadline must be replaced before either
+	// starts.
 	return c.net.SetReadDeadline(call.Deadline)
 }
 
-// earlyBody is the size in bytes from which a body is sent while the answer is read. A server may answer before it has
-// read a long body, and reads on, or not, later; below this size the buffers on the way take the whole body.
-const earlyBody = 4 << 10
+// concurrentBodySize is the body size in bytes above which a body is sent while the response is read. A server may
+// respond before it has read a large body and then stop reading. Below this size the buffers on the path hold the
+// whole body.
+const concurrentBodySize = 4 << 10
 
-// exchangeLarge sends a long body and reads the answer at the same time. A connection on which the answer came before
-// the body was out is not used again: the server takes what comes next for the rest of the body.
+// exchangeLarge sends a large body and reads the response at the same time. A connection whose response came before
+// the body was sent is not reused: the server would read the next request as the rest of the body.
 func (c *conn) exchangeLarge(p *Pool, call Call, req *fasthttp.Request, resp *fasthttp.Response) error {
 	sent := make(chan error, 1)
 	go func() {
 		err := c.send(p, call, req)
 		if err != nil && !c.wrote {
-			_ = c.net.Close() // nothing was sent, so nothing will be answered
+			_ = c.net.Close() // nothing was sent, so there will be no response
 		}
 		sent <- err
 	}()
@@ -229,12 +233,12 @@
 	return err
 }
 
-// cancelWith closes the connection when the context ends: the server takes that for a cancellation.
-func (c *conn) cancelWith(ctx context.Context) {
+// closeOnCancel closes the connection when the context ends; the server treats that as a cancellation.
+func (c *conn) closeOnCancel(ctx context.Context) {
 	c.stopCancel = neverCancelled
 	if ctx.Done() != nil {
 		c.stopCancel = context.AfterFunc(ctx, func() {
-			_ = c.net.SetLinger(0) // as close does
+			_ = c.net.SetLinger(0) // reset, as close does
 			_ = c.net.Close()
 		})
 	}
@@ -243,12 +247,12 @@
 func neverCancelled() bool { return true }
 
 func (c *conn) send(p *Pool, call Call, req *fasthttp.Request) error {
-	c.stall = 0
+	c.stallTimeout = 0
 	if err := c.net.SetDeadline(call.Deadline); err != nil {
 		return err
 	}
 	if req.IsBodyStream() {
-		c.stall = p.options.StallTimeout
+		c.stallTimeout = p.options.StallTimeout
 	}
 	if call.Guard != nil && !call.Guard() {
 		return ErrGuard
@@ -259,12 +263,13 @@
 	return c.bw.Flush()
 }
 
-// receive reads the answer; sent is the error of sending, if any, which stands unless a whole answer came.
+// receive reads the response. The argument sent is the error of sending, if any; it is returned unless a whole
+// response arrives.
 func (c *conn) receive(p *Pool, call Call, req *fasthttp.Request, resp *fasthttp.Response, streamed bool, sent error) error {
 	if sent != nil {
 		c.broken = true
-		_ = c.net.SetReadDeadline(time.Now().Add(earlyAnswer))
-	} else if err := c.await(p, call); err != nil {
+		_ = c.net.SetReadDeadline(time.Now().Add(earlyResponseWait))
+	} else if err := c.awaitResponse(p, call); err != nil {
 		return err
 	}
 	err := c.read(p, req, resp, streamed)
@@ -274,56 +279,56 @@
 	return err
 }
 
-// await waits for the first byte of the answer. From SuspectAt on it gives up a connection that is passed
-// by others: something between the two ends has lost track of it, or the server forgot it.
+// awaitResponse waits for the first byte of the response. From SuspectAt on it gives up a connection if enough other
+// connections get responses: a middlebox has lost its state, or the server has lost it.
 //
-// When every connection in use goes silent at once few others are left, and all slots would stay taken by the
-// silent ones until their deadlines. A probe on a new connection then shows that the server is there. That alone says
-// little of a slow request, so it is not held against a new connection: the next send, which finds the idle ones
-// closed and gets a new one, is not given up for the same reason.
-func (c *conn) await(p *Pool, call Call) error {
-	before, sent := p.answers.Load(), time.Now()
+// If all connections in use become unresponsive at once, few others remain, and the unresponsive ones would occupy
+// all slots until their deadlines. A probe answered on a new connection then shows that the server is up. It says
+// little about a slow request, so it does not count against a new connection: a retry, which finds the idle
+// connections closed and dials, is not given up for the same reason.
+func (c *conn) awaitResponse(p *Pool, call Call) error {
+	before, sent := p.responses.Load(), time.Now()
 	for at := call.SuspectAt; !at.IsZero() && at.Before(call.Deadline); at = time.Now().Add(p.options.ProbeTimeout) {
 		if err := c.net.SetReadDeadline(at); err != nil {
 			return err
 		}
 		_, err := c.br.Peek(1)
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
-			break // read reports the error again
+			break // read returns the error again
 		}
-		if p.answers.Load()-before >= othersAnswered || c.used && p.probed.Load() > sent.UnixNano() {
-			p.closeIdle() // whatever silenced this one may have silenced them
-			return ErrSilent
+		if p.responses.Load()-before >= minLaterResponses || c.used && p.lastProbe.Load() > sent.UnixNano() {
+			p.closeIdle() // the cause may affect the idle connections as well
+			return ErrUnresponsive
 		}
 	}
 	return c.net.SetReadDeadline(call.Deadline)
 }
 
-const maxInterim = 8 // answers with a status of 1xx before the final one
+const maxInterim = 8 // limit for responses with a status of 1xx before the final one
 
-// maxForeign is how many answers to other requests are passed over in front of the one that is due.
-const maxForeign = 3
+// maxMismatched is how many responses to other requests are skipped before the expected one.
+const maxMismatched = 3
 
-// read reads the answer. A server may send a second answer to an earlier request after that was done; by its id it is
-// known to be no answer to this one, which still follows. The connection is not used again afterwards.
+// read reads the response to the request. A server may send a second response to an earlier request after that was
+// done; its request id shows this, and the expected response still follows. The connection is not reused afterwards.
 func (c *conn) read(p *Pool, req *fasthttp.Request, resp *fasthttp.Response, streamed bool) error {
-	for i := 0; i < maxForeign; i++ {
+	for i := 0; i < maxMismatched; i++ {
 		if err := c.readHead(resp); err != nil {
 			if i > 0 {
-				return ErrForeign
+				return ErrIDMismatch
 			}
 			return err
 		}
-		foreign := isForeign(req, resp, p.options.Names)
-		if err := c.readBody(p, req, resp, streamed && !foreign); err != nil {
+		mismatch := idMismatch(req, resp, p.options.Names)
+		if err := c.readBody(p, req, resp, streamed && !mismatch); err != nil {
 			return err
 		}
-		if !foreign {
+		if !mismatch {
 			return nil
 		}
 		c.broken = true
 	}
-	return ErrForeign
+	return ErrIDMismatch
 }
 
 func (c *conn) readHead(resp *fasthttp.Response) error {
@@ -336,7 +341,7 @@
 			return nil
 		}
 		if i == maxInterim {
-			return trace.LimitExceeded("too many interim answers")
+			return trace.LimitExceeded("more than %d interim responses", maxInterim)
 		}
 	}
 }
@@ -347,10 +352,10 @@
 		return nil
 	}
 	if resp.Header.ContentLength() < -1 {
-		if !p.options.Unframed || streamed {
+		if !p.options.CloseDelimited || streamed {
 			return ErrNoLength
 		}
-		c.broken = true // the answer ends with its connection; one that is reset on the way ends with an error
+		c.broken = true // the response ends with its connection; a reset before its end is an error
 	}
 	resp.StreamBody = streamed
 	if err := resp.ReadBody(c.br, p.options.MaxBody); err != nil {
@@ -362,9 +367,9 @@
 	return nil
 }
 
-// isForeign reports whether the server says that it answers another request. Servers that echo the request's id
-// protect their callers also from answers that the server itself mixes up; nothing else could tell them apart.
-func isForeign(req *fasthttp.Request, resp *fasthttp.Response, n Names) bool {
+// idMismatch reports whether the response carries the id of another request. Servers that echo the request id also
+// protect callers from responses that the server itself mixes up; nothing else reveals such an error.
+func idMismatch(req *fasthttp.Request, resp *fasthttp.Response, n Names) bool {
 	if n.RequestID == "" {
 		return false
 	}
@@ -376,8 +381,8 @@
 	return status != fasthttp.StatusNoContent && status != fasthttp.StatusNotModified
 }
 
-// failure tells what is certain after an exchange without a whole answer; ours is whether our side ended it,
-// so that it doesn't count against the server.
+// failure returns the result of an exchange without a whole response. The argument ours is true if this side ended
+// it, so that it does not count against the server.
 func (c *conn) failure(ours bool, err error) Result {
 	r := Result{Outcome: retry.NotRun, Err: err}
 	if c.wrote {
@@ -388,7 +393,7 @@
 		r.End = admit.EndNoConn
 	case ours:
 		r.End = admit.EndCancelled
-	case errors.Is(err, ErrSilent):
+	case errors.Is(err, ErrUnresponsive):
 		r.End = admit.EndSilent
 	case isTimeout(err):
 		r.End = admit.EndTimeout
--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -1,9 +1,9 @@
-// Package conns keeps the connections from a home to its one backend server, and tells of each exchange what
-// is certain about it.
+// Package conns maintains the connections from a home to its one backend server and reports of each exchange whether
+// the request ran.
 //
-// It stands on the messages of fasthttp but not on its clients: their hidden retries would run a shift swap
-// twice. One connection carries one exchange at a time, and one whose exchange did not end with a whole
-// answer is never used again, so no late answer can reach another request.
+// It uses the messages of fasthttp but not its clients: their hidden retries could run a request that is not
+// idempotent twice. A connection carries one exchange at a time. One whose exchange did not end with a whole response
+// is never reused, so a late response cannot reach another request.
 package conns
 
 import (
@@ -23,46 +23,46 @@
 	"heatherrouter/core/retry"
 )
 
-// Options sets up a Pool; the zero value of each but Addr takes its default.
+// Options configures a Pool; a zero field other than Addr takes its default.
 type Options struct {
-	Addr         netip.AddrPort
-	MaxConns     int           // open at once, probes of the server not counted
-	DialTimeout  time.Duration // for one connection
-	ProbeEvery   time.Duration // how long a connection may be idle before it is probed
-	ProbeTimeout time.Duration // for the answer to a probe on an idle connection
-	StallTimeout time.Duration // for a body that makes no progress
-	HealthPath   string
-	MaxBody      int // bytes of an answer that is not streamed
-	Names        Names
-	Unframed     bool // take an answer that has no length and ends with its connection
-
-	// Lost is called when the server has closed a connection that was idle, as it does when it restarts. It is called
-	// before the next request goes out on another connection.
-	Lost func()
+	Addr           netip.AddrPort
+	MaxConns       int           // open at once, not counting probes of the server
+	DialTimeout    time.Duration // timeout for opening one connection
+	ProbeInterval  time.Duration // idle time after which a connection is probed
+	ProbeTimeout   time.Duration // timeout for the response to a probe on an idle connection
+	StallTimeout   time.Duration // timeout for a body that makes no progress
+	HealthPath     string
+	MaxBody        int // limit in bytes for a response that is not streamed
+	Names          Names
+	CloseDelimited bool // accept a response without a length, which ends with its connection
+
+	// OnIdleClosed is called when the server has closed an idle connection, as it does on a restart. It is called
+	// before the next request is sent on another connection.
+	OnIdleClosed func()
 }
 
-// NoProbes as ProbeEvery leaves idle connections alone.
+// NoProbes as ProbeInterval disables probes of idle connections.
 const NoProbes time.Duration = -1
 
 const (
-	defaultMaxConns     = 64
-	defaultDialTimeout  = 250 * time.Millisecond
-	defaultProbeEvery   = 500 * time.Millisecond
-	defaultProbeTimeout = 250 * time.Millisecond
-	defaultStallTimeout = 5 * time.Second
-	defaultHealthPath   = "/heatherrouter/health" // a server that has no such page answers that it hasn't, which is alive too
-	defaultMaxBody      = 16 << 20
+	defaultMaxConns      = 64
+	defaultDialTimeout   = 250 * time.Millisecond
+	defaultProbeInterval = 500 * time.Millisecond
+	defaultProbeTimeout  = 250 * time.Millisecond
+	defaultStallTimeout  = 5 * time.Second
+	defaultHealthPath    = "/heatherrouter/health" // a server without this page responds with 404, which also shows that it is alive
+	defaultMaxBody       = 16 << 20
 )
 
 func (o *Options) setDefaults() {
 	setDefault(&o.MaxConns, defaultMaxConns)
 	setDefault(&o.DialTimeout, defaultDialTimeout)
-	setDefault(&o.ProbeEvery, defaultProbeEvery)
+	setDefault(&o.ProbeInterval, defaultProbeInterval)
 	setDefault(&o.ProbeTimeout, defaultProbeTimeout)
 	setDefault(&o.StallTimeout, defaultStallTimeout)
 	setDefault(&o.HealthPath, defaultHealthPath)
 	setDefault(&o.MaxBody, defaultMaxBody)
-	setDefault(&o.Names, ownNames)
+	setDefault(&o.Names, defaultNames)
 }
 
 func setDefault[T comparable](v *T, d T) {
@@ -72,81 +72,82 @@
 	}
 }
 
-// Call is what one exchange needs besides its messages.
+// Call holds the parameters of one exchange besides its messages.
 type Call struct {
-	Deadline time.Time // for the whole answer; in DoStream for the header of the answer
+	Deadline time.Time // for the whole response; in DoStream for its header
 
-	// SuspectAt is from when a connection without any answer is given up as silent if later exchanges on
-	// others were answered, or a probe on a new connection; zero for never. Set it for
-	// idempotent requests only: for others it could only bring forward the unknown outcome.
+	// SuspectAt is the time from which a connection without any response bytes is given up as unresponsive, if later
+	// exchanges on other connections or a probe on a new one got a response; zero for never. Set it for idempotent
+	// requests only: for others it could only bring forward the unknown outcome.
 	SuspectAt time.Time
 
-	// Settle is for how long a new connection is looked at before the first byte goes out; zero for not at all. A server that
-	// has as many connections as it takes resets the next one once it is open, and what was written by then has an unknown
-	// outcome.
-	Settle time.Duration
+	// ResetWait is how long to wait for a reset on a new connection before the first byte is sent; zero for not at
+	// all. A server that has reached its connection limit resets a further connection once it is open, and anything
+	// written by then has an unknown outcome.
+	ResetWait time.Duration
 
-	// Reuse forbids a new connection: the call may reach only the life of the server that accepted the last one.
-	Reuse bool
+	// ReuseOnly forbids a new connection: the call may reach only the incarnation of the server that accepted the
+	// last one.
+	ReuseOnly bool
 
-	// Guard is asked right before the first byte is written, nil for none. It is the place to check the
-	// lease: the process may have been paused since any earlier check.
+	// Guard is called right before the first byte is written and permits the send; nil for no check. It is the place
+	// to check the lease, since the process may have been paused since any earlier check.
 	Guard func() bool
 }
 
-// Result is what is certain about one exchange.
+// Result reports what is certain about one exchange.
 type Result struct {
 	Outcome     retry.Outcome
 	End         admit.End
-	Incarnation ident.Incarnation // of the backend server, 0 where it doesn't tell one
-	Err         error             // why there is no whole answer
+	Incarnation ident.Incarnation // of the backend server, 0 if it reports none
+	Err         error             // why there is no whole response; nil if there is one
 
-	// Over says that the server reset a new connection and left others open: it has as many as it takes, and has not
-	// started again.
-	Over bool
+	// ConnLimitReached reports that the server reset a new connection and left others open: it has reached its
+	// connection limit and has not restarted.
+	ConnLimitReached bool
 }
 
-// Errors of exchanges.
+// Errors of exchanges, as found in Result.Err.
 var (
-	ErrClosed     = trace.Errorf("connections to the backend server are closed")
-	ErrExhausted  = trace.Errorf("all connections to the backend server are in use")
-	ErrNoReuse    = trace.Errorf("no connection to the backend server is open")
-	ErrGuard      = trace.Errorf("not allowed to send any more")
-	ErrNoLength   = trace.Errorf("the answer has neither a length nor chunks, so that a cut could not be seen")
-	ErrSilent     = trace.Errorf("the connection is silent while others are answered")
-	ErrForeign    = trace.Errorf("the answers are to other requests, by their ids")
-	errNoDeadline = trace.Errorf("an exchange needs a deadline")
-	errAbandoned  = trace.Errorf("the body of the answer was given up")
+	ErrClosed       = trace.Errorf("connection pool of the backend server is closed")
+	ErrExhausted    = trace.Errorf("no connection to the backend server free: limit reached")
+	ErrNoReuse      = trace.Errorf("no open connection to the backend server to reuse")
+	ErrGuard        = trace.Errorf("request not sent: permission to send has expired")
+	ErrNoLength     = trace.Errorf("response has neither a length nor chunks: truncation would go undetected")
+	ErrUnresponsive = trace.Errorf("connection unresponsive while other connections receive responses")
+	ErrIDMismatch   = trace.Errorf("response carries the id of another request")
+	errNoDeadline   = trace.Errorf("exchange has no deadline")
+	errBodyNotRead  = trace.Errorf("response body closed before its end")
 )
 
-// Pool is the connections to one backend server.
+// Pool manages the connections to one backend server.
 type Pool struct {
 	options Options
 	addr    string
 
 	mu     sync.Mutex
-	idle   []*conn // the last used at the end
+	idle   []*conn // the most recently used at the end
 	open   int
 	closed bool
 
-	answers atomic.Uint64 // whole answers so far
-	probed  atomic.Int64  // when the last probe was asked that was answered on a new connection, in unix nanoseconds
-	stop    context.CancelFunc
-	probes  sync.WaitGroup
+	responses atomic.Uint64 // count of whole responses
+	lastProbe atomic.Int64  // when the last answered probe on a new connection was sent, in Unix nanoseconds
+	stop      context.CancelFunc
+	probes    sync.WaitGroup
 }
 
-// New returns a pool that opens connections as they are needed. Close it to end its probes.
+// New returns a pool that opens connections on demand. Close it to stop its probes.
 func New(o Options) *Pool {
 	o.setDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{options: o, addr: o.Addr.String(), stop: stop}
-	if o.ProbeEvery != NoProbes {
+	if o.ProbeInterval != NoProbes {
 		p.probes.Go(func() { p.probeIdle(ctx) })
 	}
 	return p
 }
 
-// Close closes the idle connections; the others are closed as their exchanges end.
+// Close closes the idle connections and stops the probes; connections in use are closed as their exchanges end.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
@@ -157,20 +158,20 @@
 	return nil
 }
 
-// Stats is the state of a Pool for the state dump.
+// Stats is the state of a Pool in the state dump.
 type Stats struct {
 	Open int
 	Idle int
 }
 
-// Stats returns how many connections there are.
+// Stats returns the current connection counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Stats{Open: p.open, Idle: len(p.idle)}
 }
 
-// Do sends the request and reads the whole answer. The body of the request must not be a stream.
+// Do sends the request and reads the whole response. The request body must not be a stream.
 func (p *Pool) Do(ctx context.Context, call Call, req *fasthttp.Request, resp *fasthttp.Response) Result {
 	c, r := p.exchange(ctx, call, req, resp, false)
 	if c != nil {
@@ -179,8 +180,8 @@
 	return r
 }
 
-// exchange runs the exchange up to the whole answer, or to the header of it in streamed mode. It returns
-// the connection if that may be used on.
+// exchange runs the exchange up to the whole response, or up to its header in streamed mode. It returns the
+// connection if that may be reused.
 func (p *Pool) exchange(ctx context.Context, call Call, req *fasthttp.Request, resp *fasthttp.Response, streamed bool) (*conn, Result) {
 	if call.Deadline.IsZero() {
 		return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConn, Err: errNoDeadline}
@@ -188,7 +189,7 @@
 	for {
 		c, r := p.get(ctx, call)
 		if c == nil {
-			r.Over = r.End == admit.EndReset && p.stays()
+			r.ConnLimitReached = r.End == admit.EndReset && p.hasOpenConn()
 			return nil, r
 		}
 		used := c.used
@@ -197,16 +198,16 @@
 			return c, r
 		}
 		if errors.Is(r.Err, ErrGuard) && !c.broken {
-			// Nothing was written. Closed for an order that came too late, the connection would be missed by the next, which
-			// would be late in turn.
+			// Nothing was written, so the connection can be reused. Closing it because of an order that came too late
+			// would make the next order open a new one and come too late as well.
 			c.unanswered = false
 			return c, r
 		}
 		p.discard(c)
-		r.Over = !used && r.End == admit.EndReset && p.stays()
-		// A connection that the server closed while it was idle fails at the write. As long as not one byte
-		// was taken, the request can't have run, and another connection may take it. A streamed body may
-		// have been read from, and can't be sent again.
+		r.ConnLimitReached = !used && r.End == admit.EndReset && p.hasOpenConn()
+		// The write fails on a connection that the server closed while it was idle. If no byte was accepted, the
+		// request cannot have run, and another connection may take it. A streamed body may have been read from and
+		// cannot be sent again.
 		if used && r.Outcome == retry.NotRun && r.End == admit.EndReset && !req.IsBodyStream() {
 			continue
 		}
@@ -227,9 +228,9 @@
 		if c.alive() {
 			return c, Result{}
 		}
-		p.lost(c)
+		p.discardClosed(c)
 	}
-	if call.Reuse {
+	if call.ReuseOnly {
 		p.release()
 		return nil, Result{Outcome: retry.NotRun, End: admit.EndNoConn, Err: ErrNoReuse}
 	}
@@ -243,22 +244,24 @@
 	case ctx.Err() != nil:
 		end = admit.EndCancelled
 	case errors.Is(err, syscall.ECONNRESET):
-		end = admit.EndReset // the server accepted it and reset it, before this process was told that it is open
+		end = admit.EndReset // the server accepted and reset the connection before connect returned
 	}
 	return nil, Result{Outcome: retry.NotRun, End: end, Err: trace.Wrap(err, "dial %v", p.addr)}
 }
 
-// Warm opens a connection ahead of its use, unless there is one that is idle and open; it reports whether there is one then.
-func (p *Pool) Warm(ctx context.Context, deadline time.Time) bool {
+// Preconnect opens a connection in advance unless an idle one is open. It reports whether an idle connection is
+// available afterwards.
+func (p *Pool) Preconnect(ctx context.Context, deadline time.Time) bool {
 	c, r := p.get(ctx, Call{Deadline: deadline})
 	if r.Err != nil {
 		return false
 	}
-	p.keep(c)
+	p.addIdle(c)
 	return true
 }
 
-// take returns the connection used last, or nil for leave to dial one.
+// take returns the most recently used idle connection. A nil connection reserves a place for one that the caller must
+// dial.
 func (p *Pool) take() (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -277,9 +280,9 @@
 	return nil, nil
 }
 
-// stays reports whether a connection is left that the server hasn't closed, as far as can be seen: an idle one, or one that
-// still waits for its answer.
-func (p *Pool) stays() bool {
+// hasOpenConn reports whether some connection is not known to be closed by the server: an idle one, or one that waits
+// for its response.
+func (p *Pool) hasOpenConn() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open > len(p.idle) {
@@ -288,14 +291,14 @@
 	return len(p.idle) > 0 && p.idle[len(p.idle)-1].alive()
 }
 
-// put keeps a connection after an exchange.
+// put returns a connection to the pool after an exchange.
 func (p *Pool) put(c *conn) {
 	c.used = true
-	p.keep(c)
+	p.addIdle(c)
 }
 
-// keep makes a connection one of the idle ones; from then on it is anybody's.
-func (p *Pool) keep(c *conn) {
+// addIdle makes the connection available to other goroutines; the caller must not use it afterwards.
+func (p *Pool) addIdle(c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	if !p.closed {
@@ -312,11 +315,11 @@
 	p.release()
 }
 
-// lost discards an idle connection that the server has closed.
-func (p *Pool) lost(c *conn) {
+// discardClosed discards an idle connection that the server has closed.
+func (p *Pool) discardClosed(c *conn) {
 	p.discard(c)
-	if p.options.Lost != nil {
-		p.options.Lost()
+	if p.options.OnIdleClosed != nil {
+		p.options.OnIdleClosed()
 	}
 }
 
--- a/io/conns/conns_test.go
+++ b/io/conns/conns_test.go
@@ -68,8 +68,8 @@
 	return r
 }
 
-// requests calls f with the path of each request that comes on the connection.
-func requests(c net.Conn, f func(path string)) {
+// readRequests calls f with the path of each request on the connection until it ends.
+func readRequests(c net.Conn, f func(path string)) {
 	r := bufio.NewReader(c)
 	for {
 		req := &fasthttp.Request{}
@@ -80,15 +80,15 @@
 	}
 }
 
-func answerText(body string) string {
+func responseText(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nHeatherrouter-Incarnation: 7\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func answerWith(c net.Conn, body string) {
-	fmt.Fprint(c, answerText(body))
+func writeResponse(c net.Conn, body string) {
+	fmt.Fprint(c, responseText(body))
 }
 
-func soon() Call {
+func shortCall() Call {
 	return Call{Deadline: time.Now().Add(300 * time.Millisecond)}
 }
 
@@ -102,70 +102,69 @@
 	var accepted atomic.Int32
 	a := listen(t, func(_ int, c net.Conn) {
 		accepted.Add(1)
-		requests(c, func(path string) { answerWith(c, "to "+path) })
+		readRequests(c, func(path string) { writeResponse(c, "to "+path) })
 	})
 	p := newPool(t, Options{Addr: a})
 	for i := range 10 {
 		path := fmt.Sprintf("/%d", i)
-		r, body := do(p, soon(), path)
+		r, body := do(p, shortCall(), path)
 		require.Equal(t, Result{Outcome: retry.Answered, End: admit.EndAnswered, Incarnation: ident.Incarnation(7)}, r)
 		require.Equal(t, "to "+path, body)
 	}
-	require.EqualValues(t, 1, accepted.Load(), "one connection is kept")
+	require.EqualValues(t, 1, accepted.Load(), "one connection is reused")
 	require.Equal(t, Stats{Open: 1, Idle: 1}, p.Stats())
 }
 
-// What each kind of answer makes certain.
-func TestOutcomeOfAnswers(t *testing.T) {
+// Checks the outcome of each kind of response.
+func TestOutcomeOfResponses(t *testing.T) {
 	for _, x := range []struct {
-		name, answer string
-		outcome      retry.Outcome
-		end          admit.End
+		name, response string
+		outcome        retry.Outcome
+		end            admit.End
 	}{
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", retry.Answered, admit.EndAnswered},
 		{"interim first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", retry.Answered, admit.EndAnswered},
 		{"no content", "HTTP/1.1 204 No Content\r\n\r\n", retry.Answered, admit.EndAnswered},
-		{"error of the server", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", retry.Answered, admit.EndFailed},
-		{"overload, may have run", "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", retry.Answered, admit.EndOverloaded},
-		{"overload, not run", "HTTP/1.1 503 X\r\nHeatherrouter-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", retry.NotRun, admit.EndRefused},
-		{"cut body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", retry.Unknown, admit.EndReset},
-		{"cut chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nab", retry.Unknown, admit.EndReset},
+		{"server error", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", retry.Answered, admit.EndFailed},
+		{"overloaded, may have run", "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", retry.Answered, admit.EndOverloaded},
+		{"overloaded, not run", "HTTP/1.1 503 X\r\nHeatherrouter-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", retry.NotRun, admit.EndRefused},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", retry.Unknown, admit.EndReset},
+		{"truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nab", retry.Unknown, admit.EndReset},
 		{"no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", retry.Unknown, admit.EndReset},
 		{"no trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", retry.Unknown, admit.EndReset},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nab", retry.Unknown, admit.EndCancelled},
-		{"more than we hold", "HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\nab", retry.Unknown, admit.EndCancelled},
-		{"cut header", "HTTP/1.1 200 OK\r\nContent-Le", retry.Unknown, admit.EndReset},
-		{"nothing", "", retry.Unknown, admit.EndReset},
-		{"no HTTP", "hello\r\n\r\n", retry.Unknown, admit.EndReset},
+		{"larger than MaxBody", "HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\nab", retry.Unknown, admit.EndCancelled},
+		{"truncated header", "HTTP/1.1 200 OK\r\nContent-Le", retry.Unknown, admit.EndReset},
+		{"empty response", "", retry.Unknown, admit.EndReset},
+		{"not HTTP", "hello\r\n\r\n", retry.Unknown, admit.EndReset},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			a := listen(t, func(_ int, c net.Conn) {
-				requests(c, func(string) {
-					_, _ = io.WriteString(c, x.answer)
+				readRequests(c, func(string) {
+					_, _ = io.WriteString(c, x.response)
 					c.Close()
 				})
 			})
 			p := newPool(t, Options{Addr: a, MaxBody: 1000})
-			r, _ := do(p, soon(), "/")
+			r, _ := do(p, shortCall(), "/")
 			require.Equal(t, x.outcome, r.Outcome, "%v", r.Err)
 			require.Equal(t, x.end, r.End)
 			require.Equal(t, x.outcome == retry.Unknown, r.Err != nil)
 			if r.Err != nil {
-				require.Zero(t, p.Stats().Open, "the connection is not kept")
+				require.Zero(t, p.Stats().Open, "the connection must be closed")
 			}
 		})
 	}
 }
 
-// The caller sees a refusal as not run. The server's port is closed, so the dial fails before any byte is
-// sent, and that is certain.
+// The outcome of a refused dial is certain: it fails before any byte is sent, so the request has not run.
 func TestDialRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	a := netip.MustParseAddrPort(l.Addr().String())
 	l.Close()
 	p := newPool(t, Options{Addr: a})
-	r, _ := do(p, soon(), "/")
+	r, _ := do(p, shortCall(), "/")
 	require.Equal(t, retry.NotRun, r.Outcome)
 	require.Equal(t, admit.EndNoDial, r.End)
 	require.Zero(t, p.Stats().Open)
@@ -173,29 +172,29 @@
 	require.Error(t, err)
 }
 
-// The caller sees an unknown outcome. The server takes the request and resets the connection without an
-// answer: it may have run the request before that, so no refusal is possible any more.
+// Guards against reporting a request as not run that may have run: the server reads it and resets the connection
+// without a response.
 func TestResetAfterWrite(t *testing.T) {
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(string) {
+		readRequests(c, func(string) {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		})
 	})
-	r, _ := do(newPool(t, Options{Addr: a}), soon(), "/")
+	r, _ := do(newPool(t, Options{Addr: a}), shortCall(), "/")
 	require.Equal(t, retry.Unknown, r.Outcome)
 	require.Equal(t, admit.EndReset, r.End)
 }
 
-// The caller of the second request sees its own answer. The first one's answer comes after its deadline, on
-// a connection that is closed by then; were that connection used on, the second caller would get it.
-func TestLateAnswer(t *testing.T) {
+// Guards against a late response that reaches another caller. It arrives after the deadline of its own request, on a
+// connection that must be closed by then.
+func TestLateResponse(t *testing.T) {
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(path string) {
+		readRequests(c, func(path string) {
 			if path == "/late" {
 				time.Sleep(100 * time.Millisecond)
 			}
-			answerWith(c, path)
+			writeResponse(c, path)
 		})
 	})
 	p := newPool(t, Options{Addr: a})
@@ -204,30 +203,30 @@
 	require.Equal(t, admit.EndTimeout, r.End)
 	require.Zero(t, p.Stats().Open)
 	time.Sleep(70 * time.Millisecond)
-	r, body := do(p, soon(), "/own")
+	r, body := do(p, shortCall(), "/own")
 	require.NoError(t, r.Err)
 	require.Equal(t, "/own", body)
 }
 
-// The caller of the second request sees its own answer. The server answers the first one twice on one
-// connection: in one write, so that the surplus lies there when the first exchange ends, or while the
-// connection is idle. Either way the surplus bytes make the connection unusable.
-func TestSurplusAnswer(t *testing.T) {
+// Guards against a surplus response that reaches another caller. The server responds twice to one request: in one
+// write, so that the surplus is already buffered when the exchange ends, or later while the connection is idle. Both
+// make the connection unusable.
+func TestSurplusResponse(t *testing.T) {
 	for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
 		a := listen(t, func(_ int, c net.Conn) {
-			requests(c, func(path string) {
+			readRequests(c, func(path string) {
 				if pause == 0 {
-					fmt.Fprint(c, answerText(path)+answerText("foreign"))
+					fmt.Fprint(c, responseText(path)+responseText("surplus"))
 					return
 				}
-				answerWith(c, path)
+				writeResponse(c, path)
 				time.Sleep(pause)
-				answerWith(c, "foreign")
+				writeResponse(c, "surplus")
 			})
 		})
 		p := newPool(t, Options{Addr: a})
 		for i := range 5 {
-			r, body := do(p, soon(), fmt.Sprint("/", i))
+			r, body := do(p, shortCall(), fmt.Sprint("/", i))
 			require.NoError(t, r.Err)
 			require.Equal(t, fmt.Sprint("/", i), body)
 			time.Sleep(2 * pause)
@@ -235,32 +234,32 @@
 	}
 }
 
-// The caller sees an unknown outcome and no foreign body. The server mixes up two requests and answers with
-// the other one's id; nothing but the id tells, since the bytes come when an answer is due.
-func TestForeignID(t *testing.T) {
+// Guards against a response that the server sends to the wrong request. Only the request id reveals it, since the
+// bytes arrive when a response is expected. The outcome is unknown, and the body is not passed on.
+func TestIDMismatch(t *testing.T) {
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(path string) {
+		readRequests(c, func(path string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nHeatherrouter-Request-Id: other\r\nContent-Length: %d\r\n\r\n%s", len(path), path)
 		})
 	})
 	p := newPool(t, Options{Addr: a})
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.SetRequestURI("http://x/own")
-	Stamp(req, Meta{RequestID: "own", Deadline: time.Now().Add(time.Second)})
-	r := p.Do(t.Context(), soon(), req, resp)
+	SetHeaders(req, Meta{RequestID: "own", Deadline: time.Now().Add(time.Second)})
+	r := p.Do(t.Context(), shortCall(), req, resp)
 	require.Equal(t, retry.Unknown, r.Outcome)
-	require.ErrorIs(t, r.Err, ErrForeign)
-	require.Zero(t, p.Stats().Open, "the connection must not be used again")
+	require.ErrorIs(t, r.Err, ErrIDMismatch)
+	require.Zero(t, p.Stats().Open, "the connection must not be reused")
 }
 
-// The caller sees an answer, not an unknown outcome. The server closes the connection while it is idle, as
-// on a restart; the next request finds that out before its first byte and takes a new connection.
+// Guards against an unknown outcome after a restart of the server, which closes its idle connections. The next
+// request must notice that before its first byte and use a new connection.
 func TestIdleClosedByServer(t *testing.T) {
 	var runs atomic.Int32
 	a := listen(t, func(n int, c net.Conn) {
-		requests(c, func(path string) {
+		readRequests(c, func(path string) {
 			runs.Add(1)
-			answerWith(c, path)
+			writeResponse(c, path)
 			if n%2 == 0 {
 				c.Close()
 			}
@@ -268,19 +267,19 @@
 	})
 	p := newPool(t, Options{Addr: a})
 	for i := range 20 {
-		r, _ := do(p, soon(), "/")
+		r, _ := do(p, shortCall(), "/")
 		require.NoError(t, r.Err)
-		require.EqualValues(t, i+1, runs.Load(), "each ran once")
+		require.EqualValues(t, i+1, runs.Load(), "each request ran once")
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// The caller gives up, and sees an unknown outcome at once; the server sees the connection closed, which it
-// takes for a cancellation.
+// A cancelled request returns an unknown outcome at once. The server sees the connection closed, which it treats as a
+// cancellation.
 func TestCancel(t *testing.T) {
 	closed := make(chan struct{})
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(string) {})
+		readRequests(c, func(string) {})
 		close(closed)
 	})
 	p := newPool(t, Options{Addr: a})
@@ -291,19 +290,19 @@
 	require.Equal(t, admit.EndCancelled, r.End)
 	<-closed
 	r = p.Do(ctx, Call{Deadline: time.Now().Add(10 * time.Second)}, get("/"), &fasthttp.Response{})
-	require.Equal(t, retry.NotRun, r.Outcome, "gone before anything was sent")
+	require.Equal(t, retry.NotRun, r.Outcome, "cancelled before anything was sent")
 	require.Equal(t, admit.EndCancelled, r.End)
 }
 
-// The caller sees a refusal as not run. The process was paused after the request was admitted, and its
-// lease lapsed: the guard right before the first byte stops the send, on a kept connection too.
+// Guards against sending after the lease has expired, for example because the process was paused after the request
+// was admitted. The guard runs right before the first byte, on a reused connection too.
 func TestGuard(t *testing.T) {
 	var runs atomic.Int32
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(path string) { runs.Add(1); answerWith(c, path) })
+		readRequests(c, func(path string) { runs.Add(1); writeResponse(c, path) })
 	})
 	p := newPool(t, Options{Addr: a})
-	c := soon()
+	c := shortCall()
 	for range 2 {
 		r, _ := do(p, c, "/")
 		require.NoError(t, r.Err)
@@ -315,17 +314,17 @@
 	require.EqualValues(t, 2, runs.Load())
 }
 
-// A server's keys lapse one after the other. An order that waited too long isn't sent, and its connection must stay for
-// the next one: opening another takes a busy server seconds.
-func TestGuardLeavesTheConnection(t *testing.T) {
+// Guards against grants that expire one after the other: an order that waited too long is not sent, and its
+// connection must stay open for the next order, since opening another one to a busy server takes seconds.
+func TestGuardKeepsConnection(t *testing.T) {
 	var accepted atomic.Int32
 	a := listen(t, func(_ int, c net.Conn) {
 		accepted.Add(1)
-		requests(c, func(path string) { answerWith(c, path) })
+		readRequests(c, func(path string) { writeResponse(c, path) })
 	})
 	p := newPool(t, Options{Addr: a})
 	for i := range 6 {
-		call := soon()
+		call := shortCall()
 		call.Guard = func() bool { return i%2 == 0 }
 		r, _ := do(p, call, "/grant")
 		if i%2 == 0 {
@@ -337,13 +336,13 @@
 	require.Equal(t, int32(1), accepted.Load())
 }
 
-// The caller sees an answer well before its deadline, from a second send. Its connection delivers nothing
-// more while others are answered, so it is given up as silent, and the idle ones with it.
-func TestSilentInFlight(t *testing.T) {
+// Guards against waiting until the deadline on an unresponsive connection. While other connections get responses, it
+// is given up, and the idle ones with it, so that the caller can retry early.
+func TestUnresponsiveInFlight(t *testing.T) {
 	a := listen(t, func(n int, c net.Conn) {
-		requests(c, func(path string) {
+		readRequests(c, func(path string) {
 			if n > 0 {
-				answerWith(c, path)
+				writeResponse(c, path)
 			}
 		})
 	})
@@ -355,8 +354,8 @@
 		done <- r
 	}()
 	time.Sleep(20 * time.Millisecond)
-	for range othersAnswered {
-		r, _ := do(p, soon(), "/")
+	for range minLaterResponses {
+		r, _ := do(p, shortCall(), "/")
 		require.NoError(t, r.Err)
 	}
 	r := <-done
@@ -366,11 +365,11 @@
 	require.Zero(t, p.Stats().Open)
 }
 
-// The caller waits for its slow answer and gets it. No other exchange was answered meanwhile, so nothing
-// says that the connection is at fault rather than the server slow.
-func TestSlowIsNotSilent(t *testing.T) {
+// Guards against giving up a slow request: no other exchange got a response meanwhile, so nothing shows that the
+// connection is at fault rather than the server slow.
+func TestSlowIsNotUnresponsive(t *testing.T) {
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(path string) { time.Sleep(150 * time.Millisecond); answerWith(c, path) })
+		readRequests(c, func(path string) { time.Sleep(150 * time.Millisecond); writeResponse(c, path) })
 	})
 	p := newPool(t, Options{Addr: a, ProbeTimeout: 20 * time.Millisecond})
 	r, body := do(p, Call{Deadline: time.Now().Add(time.Second), SuspectAt: time.Now().Add(20 * time.Millisecond)}, "/slow")
@@ -378,72 +377,72 @@
 	require.Equal(t, "/slow", body)
 }
 
-// Nobody sees anything: a connection goes silent while it is idle, its probe gets no answer, and the next
-// request takes another one.
-func TestSilentIdle(t *testing.T) {
-	var silent atomic.Bool
+// Guards against a request on an idle connection that has become unresponsive: its probe gets no response, and the
+// next request takes another connection.
+func TestUnresponsiveIdle(t *testing.T) {
+	var unresponsive atomic.Bool
 	a := listen(t, func(n int, c net.Conn) {
-		requests(c, func(path string) {
-			if n > 0 || !silent.Load() {
-				answerWith(c, path)
+		readRequests(c, func(path string) {
+			if n > 0 || !unresponsive.Load() {
+				writeResponse(c, path)
 			}
 		})
 	})
-	p := newPool(t, Options{Addr: a, ProbeEvery: 40 * time.Millisecond, ProbeTimeout: 40 * time.Millisecond})
-	r, _ := do(p, soon(), "/")
+	p := newPool(t, Options{Addr: a, ProbeInterval: 40 * time.Millisecond, ProbeTimeout: 40 * time.Millisecond})
+	r, _ := do(p, shortCall(), "/")
 	require.NoError(t, r.Err)
 	time.Sleep(200 * time.Millisecond)
-	require.Equal(t, 1, p.Stats().Open, "an answered probe keeps the connection")
-	silent.Store(true)
+	require.Equal(t, 1, p.Stats().Open, "a connection with an answered probe stays open")
+	unresponsive.Store(true)
 	require.Eventually(t, func() bool { return p.Stats().Open == 0 }, 2*time.Second, 5*time.Millisecond)
-	r, _ = do(p, soon(), "/")
+	r, _ = do(p, shortCall(), "/")
 	require.NoError(t, r.Err)
 }
 
 func TestExhaustedAndClosed(t *testing.T) {
 	started := make(chan struct{})
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(path string) {
+		readRequests(c, func(path string) {
 			started <- struct{}{}
 			time.Sleep(50 * time.Millisecond)
-			answerWith(c, path)
+			writeResponse(c, path)
 		})
 	})
 	p := newPool(t, Options{Addr: a, MaxConns: 1})
 	done := make(chan Result)
 	go func() {
-		r, _ := do(p, soon(), "/")
+		r, _ := do(p, shortCall(), "/")
 		done <- r
 	}()
 	<-started
-	r, _ := do(p, soon(), "/")
+	r, _ := do(p, shortCall(), "/")
 	require.Equal(t, retry.NotRun, r.Outcome)
 	require.ErrorIs(t, r.Err, ErrExhausted)
 	require.NoError(t, p.Close())
-	require.NoError(t, (<-done).Err, "what is in flight ends")
+	require.NoError(t, (<-done).Err, "an exchange in flight completes")
 	require.Zero(t, p.Stats().Open)
-	r, _ = do(p, soon(), "/")
+	r, _ = do(p, shortCall(), "/")
 	require.ErrorIs(t, r.Err, ErrClosed)
 	require.Equal(t, retry.NotRun, r.Outcome)
 }
 
 func TestProbe(t *testing.T) {
 	a := listen(t, func(_ int, c net.Conn) {
-		requests(c, func(path string) { answerWith(c, path) })
+		readRequests(c, func(path string) { writeResponse(c, path) })
 	})
 	h, err := newPool(t, Options{Addr: a}).Probe(time.Now().Add(time.Second))
 	require.NoError(t, err)
 	require.Equal(t, admit.Health{Alive: true, Incarnation: 7}, h)
 }
 
-// A caller that sends our own headers doesn't get through with them.
+// Guards against a caller that forges the headers of the home.
 func TestStamp(t *testing.T) {
 	r := get("/")
 	r.Header.Set("heatherrouter-epoch", "99")
 	r.Header.Set("Heatherrouter-Key", "forged")
 	r.Header.Add("Heatherrouter-Request-Id", "forged")
 	r.Header.Add("Heatherrouter-Request-Id", "twice")
-	Stamp(r, Meta{RequestID: "r1", Epoch: 3, Deadline: time.UnixMilli(5)})
+	SetHeaders(r, Meta{RequestID: "r1", Epoch: 3, Deadline: time.UnixMilli(5)})
 	s := r.Header.String()
 	require.Contains(t, s, "Heatherrouter-Epoch: 3\r\n")
 	require.Contains(t, s, "Heatherrouter-Deadline: 5\r\n")
@@ -452,7 +451,7 @@
 	require.NotContains(t, s, "forged")
 	require.NotContains(t, s, "twice")
 	require.Equal(t, 3, strings.Count(s, "Heatherrouter-"))
-	Stamp(r, Meta{Key: []byte("k"), Shard: 4})
+	SetHeaders(r, Meta{Key: []byte("k"), Shard: 4})
 	require.Equal(t, "k", string(r.Header.Peek(HeaderKey)))
 	require.Equal(t, "4", string(r.Header.Peek(HeaderShard)))
 }
--- a/io/conns/header.go
+++ b/io/conns/header.go
@@ -19,22 +19,22 @@
 	HeaderDeadline    = "Heatherrouter-Deadline" // wall clock, Unix milliseconds
 	HeaderKey         = "Heatherrouter-Key"
 	HeaderShard       = "Heatherrouter-Shard"
-	HeaderIncarnation = "Heatherrouter-Incarnation" // in answers
-	HeaderNotRun      = "Heatherrouter-Not-Run"     // in answers with status 503: "1" if the request did not run
+	HeaderIncarnation = "Heatherrouter-Incarnation" // in responses
+	HeaderNotRun      = "Heatherrouter-Not-Run"     // in responses with status 503: "1" if the request did not run
 )
 
-// Names are the headers by which a server's answers are told apart; an empty one is not looked for.
+// Names are the response headers that Pool evaluates; it ignores one with an empty name.
 type Names struct {
 	RequestID string // echoed by the server
-	NotRun    string // set if the server did not run the request
+	NotRun    string // present if the server did not run the request
 }
 
-var ownNames = Names{RequestID: HeaderRequestID, NotRun: HeaderNotRun}
+var defaultNames = Names{RequestID: HeaderRequestID, NotRun: HeaderNotRun}
 
-// NoNames is for servers that are no backend servers: their answers carry none of the headers.
+// NoNames is for servers other than backend servers: their responses carry none of the headers.
 var NoNames = Names{NotRun: "-"}
 
-// Meta is what a home tells its backend server about a request.
+// Meta is the information about a request that a home sends to its backend server.
 type Meta struct {
 	RequestID ident.Request
 	Epoch     ident.Epoch
@@ -43,9 +43,9 @@
 	Shard     ident.Shard
 }
 
-// Stamp sets the headers of the home, in place of any that the caller sent: a caller could otherwise raise
-// the epoch and fence off the rightful home.
-func Stamp(req *fasthttp.Request, m Meta) {
+// SetHeaders sets the headers of the home and replaces any that the caller sent: a caller could otherwise raise the
+// epoch and fence off the rightful home.
+func SetHeaders(req *fasthttp.Request, m Meta) {
 	h := &req.Header
 	var buf [20]byte
 	h.Set(HeaderRequestID, string(m.RequestID))
@@ -60,10 +60,10 @@
 	h.SetBytesV(HeaderShard, strconv.AppendUint(buf[:0], uint64(m.Shard), 10))
 }
 
-// answer classes a whole answer.
-func answer(resp *fasthttp.Response, n Names) Result {
+// classify derives the result from a whole response.
+func classify(resp *fasthttp.Response, n Names) Result {
 	r := Result{Outcome: retry.Answered, End: admit.EndAnswered, Incarnation: incarnation(resp)}
-	misdirected := resp.StatusCode() == fasthttp.StatusMisdirectedRequest // by its definition not run
+	misdirected := resp.StatusCode() == fasthttp.StatusMisdirectedRequest // not run, by definition of the status
 	if misdirected || len(resp.Header.Peek(n.NotRun)) > 0 && resp.StatusCode() >= fasthttp.StatusBadRequest {
 		r.Outcome, r.End = retry.NotRun, admit.EndRefused
 		return r
@@ -81,7 +81,7 @@
 	return r
 }
 
-// incarnation reads the life of the server; one that is no number is hashed, as only equality counts.
+// incarnation reads the incarnation of the server; a value that is not a number is hashed, as only equality matters.
 func incarnation(resp *fasthttp.Response) ident.Incarnation {
 	v := resp.Header.Peek(HeaderIncarnation)
 	if len(v) == 0 {
--- a/io/conns/over_test.go
+++ b/io/conns/over_test.go
@@ -14,28 +14,29 @@
 	"heatherrouter/core/retry"
 )
 
-// reset closes a connection so that the other end sees a reset.
+// reset closes a connection so that the other end receives a reset.
 func reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// A shift swap ends with an unknown outcome though no server has seen it. The server has as many connections as it takes
-// and resets the next one as soon as it is open; with a look before the first byte the request has certainly not run.
+// Guards against an unknown outcome for a request that no server has read: a server at its connection limit resets a
+// further connection as soon as it is open. With a wait for the reset before the first byte, the request has
+// certainly not run.
 func TestResetBeforeTheFirstByte(t *testing.T) {
 	a := listen(t, func(_ int, c net.Conn) { reset(c) })
 	p := newPool(t, Options{Addr: a})
-	call := soon()
-	call.Settle = 50 * time.Millisecond
+	call := shortCall()
+	call.ResetWait = 50 * time.Millisecond
 	r, _ := do(p, call, "/swap")
 	require.Equal(t, retry.NotRun, r.Outcome)
 	require.Equal(t, admit.EndReset, r.End)
-	require.False(t, r.Over, "there is no other connection: the server may have started again")
+	require.False(t, r.ConnLimitReached, "no other connection is open: the server may have restarted")
 }
 
-// A sound server is left alone as one that may have started again, and its keys go unserved. It resets a new connection
-// because it has enough of them, while the ones that were open before go on.
-func TestOverItsConnections(t *testing.T) {
+// Guards against treating a healthy server as restarted, which leaves its keys unserved: at its connection limit it
+// resets a new connection while the ones opened before stay open.
+func TestConnLimitReached(t *testing.T) {
 	var accepted atomic.Int32
 	a := listen(t, func(n int, c net.Conn) {
 		accepted.Add(1)
@@ -43,69 +44,70 @@
 			reset(c)
 			return
 		}
-		requests(c, func(path string) {
+		readRequests(c, func(path string) {
 			time.Sleep(100 * time.Millisecond)
-			answerWith(c, path)
+			writeResponse(c, path)
 		})
 	})
 	p := newPool(t, Options{Addr: a})
 	first := make(chan Result, 1)
 	go func() {
-		r, _ := do(p, soon(), "/first")
+		r, _ := do(p, shortCall(), "/first")
 		first <- r
 	}()
 	require.Eventually(t, func() bool { return accepted.Load() == 1 }, time.Second, time.Millisecond)
-	call := soon()
-	call.Settle = 50 * time.Millisecond
+	call := shortCall()
+	call.ResetWait = 50 * time.Millisecond
 	r, _ := do(p, call, "/second")
 	require.Equal(t, retry.NotRun, r.Outcome)
-	require.True(t, r.Over)
+	require.True(t, r.ConnLimitReached)
 	require.Equal(t, retry.Answered, (<-first).Outcome)
 }
 
-// A request waits on each new connection for a reset that doesn't come. It must wait once only, and no longer than said.
-func TestSettleOnce(t *testing.T) {
-	a := listen(t, func(_ int, c net.Conn) { requests(c, func(path string) { answerWith(c, path) }) })
+// Guards against repeated waits for a reset that does not come: a connection waits once, and no longer than
+// ResetWait.
+func TestResetWaitOnce(t *testing.T) {
+	a := listen(t, func(_ int, c net.Conn) { readRequests(c, func(path string) { writeResponse(c, path) }) })
 	p := newPool(t, Options{Addr: a})
 	start := time.Now()
 	for range 5 {
-		call := soon()
-		call.Settle = 40 * time.Millisecond
+		call := shortCall()
+		call.ResetWait = 40 * time.Millisecond
 		r, _ := do(p, call, "/x")
 		require.Equal(t, retry.Answered, r.Outcome, r.Err)
 	}
 	require.Less(t, time.Since(start), 120*time.Millisecond)
 }
 
-// A filed correction fails though its server is sound. Its body is so long that it is sent while the answer is read; the
-// end of the look at the new connection must not end that reading.
-func TestSettleBeforeALongBody(t *testing.T) {
-	a := listen(t, func(_ int, c net.Conn) { requests(c, func(path string) { answerWith(c, path) }) })
+// Guards against a failed request with a large body at a healthy server: the body is sent while the response is read,
+// and the end of the wait for a reset must not end that read.
+func TestResetWaitBeforeLargeBody(t *testing.T) {
+	a := listen(t, func(_ int, c net.Conn) { readRequests(c, func(path string) { writeResponse(c, path) }) })
 	p := newPool(t, Options{Addr: a})
-	call := soon()
-	call.Settle = 5 * time.Millisecond
+	call := shortCall()
+	call.ResetWait = 5 * time.Millisecond
 	q, resp := get("/x"), &fasthttp.Response{}
 	q.Header.SetMethod(fasthttp.MethodPost)
-	q.SetBodyString(strings.Repeat("x", 2*earlyBody))
+	q.SetBodyString(strings.Repeat("x", 2*concurrentBodySize))
 	r := p.Do(t.Context(), call, q, resp)
 	require.Equal(t, retry.Answered, r.Outcome, r.Err)
 }
 
-// The keys of a busy server lapse while the coordinator waits for a connection to it. One is opened ahead in the background
-// and taken by the next order, which may come at the same moment; with one open already none is opened.
-func TestWarm(t *testing.T) {
+// Guards against grants of a busy server that expire while the coordinator opens a connection to it. A connection is
+// opened in the background and taken by the next order, which may come at the same moment; no second one is opened.
+func TestPreconnect(t *testing.T) {
 	var accepted atomic.Int32
 	a := listen(t, func(_ int, c net.Conn) {
 		accepted.Add(1)
-		requests(c, func(path string) { answerWith(c, path) })
+		readRequests(c, func(path string) { writeResponse(c, path) })
 	})
 	p := newPool(t, Options{Addr: a, MaxConns: 1})
 	for range 20 {
 		warmed := make(chan bool, 1)
-		go func() { warmed <- p.Warm(t.Context(), time.Now().Add(time.Second)) }()
+		go func() { warmed <- p.Preconnect(t.Context(), time.Now().Add(time.Second)) }()
 		for {
-			call := soon()
-			call.Reuse = true
+			call := shortCall()
+			call.ReuseOnly = true
 			if r, _ := do(p, call, "/grant"); r.Outcome == retry.Answered {
 				break
 			}
--- a/io/conns/probe.go
+++ b/io/conns/probe.go
@@ -10,10 +10,10 @@
 	"heatherrouter/core/admit"
 )
 
-// Probe asks for the health page on a new connection of its own, so that it finds out whether the server
-// takes new ones. Any whole answer counts as alive: what the page says lags and misleads.
+// Probe requests the health page on a new connection of its own, which shows whether the server accepts connections.
+// Any whole response counts as alive: the content of the page is outdated and unreliable.
 func (p *Pool) Probe(deadline time.Time) (admit.Health, error) {
-	asked := time.Now()
+	sentAt := time.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	c, err := p.dial(ctx, deadline)
@@ -23,7 +23,7 @@
 	defer c.close()
 	h, err := p.health(c, deadline)
 	if err == nil {
-		p.probed.Store(asked.UnixNano())
+		p.lastProbe.Store(sentAt.UnixNano())
 	}
 	return h, err
 }
@@ -34,15 +34,15 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetHost(p.addr)
 	req.SetRequestURI(p.options.HealthPath)
-	if err := c.ask(p, deadline, req, resp); err != nil {
+	if err := c.probeExchange(p, deadline, req, resp); err != nil {
 		return admit.Health{}, trace.Wrap(err)
 	}
 	return admit.Health{Alive: true, Incarnation: incarnation(resp)}, nil
 }
 
-// ask is an exchange that doesn't count for others: health pages are answered also by servers that answer
-// nothing else.
-func (c *conn) ask(p *Pool, deadline time.Time, req *fasthttp.Request, resp *fasthttp.Response) error {
+// probeExchange runs an exchange that does not count as a response for awaitResponse: a server may serve its health
+// page and nothing else.
+func (c *conn) probeExchange(p *Pool, deadline time.Time, req *fasthttp.Request, resp *fasthttp.Response) error {
 	call := Call{Deadline: deadline}
 	if err := c.send(p, call, req); err != nil {
 		return err
@@ -56,28 +56,29 @@
 	return nil
 }
 
-// probeIdle replaces idle connections that went silent before a request has to find out.
+// probeIdle probes idle connections and discards unresponsive ones before a request is sent on them.
 func (p *Pool) probeIdle(ctx context.Context) {
-	t := time.NewTicker(p.options.ProbeEvery / 2)
+	t := time.NewTicker(p.options.ProbeInterval / 2)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			for _, c := range p.takeIdle(now.Add(-p.options.ProbeEvery)) {
-				p.probes.Go(func() { p.check(c) })
+			for _, c := range p.takeIdle(now.Add(-p.options.ProbeInterval)) {
+				p.probes.Go(func() { p.checkIdle(c) })
 			}
 		}
 	}
 }
 
-// takeIdle takes out a few connections that were idle since before the time, the longest idle first.
+// takeIdle removes up to maxConcurrentProbes connections that have been idle since before the given time, the longest
+// idle first.
 func (p *Pool) takeIdle(before time.Time) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for n < len(p.idle) && n < maxProbes && p.idle[n].idleSince.Before(before) {
+	for n < len(p.idle) && n < maxConcurrentProbes && p.idle[n].idleSince.Before(before) {
 		n++
 	}
 	l := append([]*conn(nil), p.idle[:n]...)
@@ -85,22 +86,22 @@
 	return l
 }
 
-const maxProbes = 8 // at once
+const maxConcurrentProbes = 8 // per check of the idle connections
 
-func (p *Pool) check(c *conn) {
+func (p *Pool) checkIdle(c *conn) {
 	if !c.alive() {
-		p.lost(c)
+		p.discardClosed(c)
 		return
 	}
 	if _, err := p.health(c, time.Now().Add(p.options.ProbeTimeout)); err != nil || !c.reusable() {
 		p.discard(c)
 		return
 	}
-	p.putBack(c)
+	p.returnProbed(c)
 }
 
-// putBack returns a probed connection to the front: it isn't the one used last.
-func (p *Pool) putBack(c *conn) {
+// returnProbed puts a probed connection at the front, as the least recently used one.
+func (p *Pool) returnProbed(c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	if p.closed {
--- a/io/conns/stream.go
+++ b/io/conns/stream.go
@@ -12,45 +12,46 @@
 	"heatherrouter/core/retry"
 )
 
-// Stream is the body of an answer as it comes in. Close it in any case.
+// Stream is the body of a response as it arrives. The caller must close it in any case.
 type Stream struct {
-	pool *Pool
-	conn *conn
-	ctx  context.Context
-	stop func() bool
-	body io.Reader // nil when there is no body
-	resp *fasthttp.Response
-	r    Result
-	done bool // the body ended, whole or not
+	pool       *Pool
+	conn       *conn
+	ctx        context.Context
+	stopCancel func() bool
+	body       io.Reader // nil if there is no body
+	resp       *fasthttp.Response
+	result     Result
+	finished   bool // the body has ended, whole or truncated
 }
 
-// DoStream sends the request, whose body may be a stream, and reads the header of the answer into resp.
+// DoStream sends the request, whose body may be a stream, and reads the header of the response into resp.
 //
-// The stream is nil unless the outcome is Answered. Until it has ended, Answered holds for the header only;
-// Close returns the final result. The call's deadline bounds the time to the header; from then on the body
-// may take as long as it makes progress, since a volume is as slow as its reader.
+// The stream is nil unless the outcome is Answered. Until the stream has ended, Answered holds for the header only;
+// Close returns the final result. The call's deadline limits the time to the header. After that the body may take as
+// long as it makes progress, since a large download is as slow as its reader.
 func (p *Pool) DoStream(ctx context.Context, call Call, req *fasthttp.Request, resp *fasthttp.Response) (*Stream, Result) {
 	c, r := p.exchange(ctx, call, req, resp, true)
 	if c == nil {
 		return nil, r
 	}
-	s := &Stream{pool: p, conn: c, ctx: ctx, stop: c.stopCancel, body: resp.BodyStream(), resp: resp, r: r}
+	s := &Stream{pool: p, conn: c, ctx: ctx, stopCancel: c.stopCancel, body: resp.BodyStream(), resp: resp, result: r}
 	if r.Outcome == retry.Answered {
 		return s, r
 	}
-	_, _ = io.CopyN(io.Discard, s, maxDrain)
+	_, _ = io.CopyN(io.Discard, s, maxDrainBytes)
 	s.Close()
 	return nil, r
 }
 
-// maxDrain is how much of a refusal's body is read to keep its connection.
-const maxDrain = 16 << 10
+// maxDrainBytes is how much of a refusal's body is read so that its connection can be reused.
+const maxDrainBytes = 16 << 10
 
-// Read implements io.Reader. It returns io.EOF only after a whole body, and io.ErrUnexpectedEOF when the
-// body is cut, however that came about: passing a cut on as an end would hand the caller half a volume.
+// Read implements io.Reader. It returns io.EOF only after a whole body, and io.ErrUnexpectedEOF if the body is
+// truncated for any reason: passing truncation on as a normal end would give the caller an incomplete body without a
+// sign of it.
 func (s *Stream) Read(b []byte) (int, error) {
-	if s.done {
-		return 0, s.last()
+	if s.finished {
+		return 0, s.endErr()
 	}
 	if s.body == nil {
 		s.finish(nil)
@@ -68,28 +69,28 @@
 	default:
 		s.finish(err)
 	}
-	return n, s.last()
+	return n, s.endErr()
 }
 
-func (s *Stream) last() error {
-	if s.r.Err != nil {
+func (s *Stream) endErr() error {
+	if s.result.Err != nil {
 		return io.ErrUnexpectedEOF
 	}
 	return io.EOF
 }
 
 func (s *Stream) finish(err error) {
-	if s.done {
+	if s.finished {
 		return
 	}
-	s.done = true
-	if !s.stop() {
+	s.finished = true
+	if !s.stopCancel() {
 		s.conn.broken = true
 	}
 	if err != nil {
-		i := s.r.Incarnation
-		s.r = s.conn.failure(s.ctx.Err() != nil, err)
-		s.r.Outcome, s.r.Incarnation = retry.Unknown, i
+		i := s.result.Incarnation
+		s.result = s.conn.failure(s.ctx.Err() != nil, err)
+		s.result.Outcome, s.result.Incarnation = retry.Unknown, i
 	}
 	_ = s.resp.CloseBodyStream()
 	if err == nil && s.conn.reusable() {
@@ -99,12 +100,12 @@
 	}
 }
 
-// Close ends the stream and returns the final result. Before the end of the body it closes the connection,
-// which cancels the work at the server.
+// Close ends the stream and returns the final result. Before the end of the body it closes the connection, which
+// cancels the work at the server.
 func (s *Stream) Close() Result {
-	if !s.done {
-		s.finish(errAbandoned)
-		s.r.End = admit.EndCancelled
+	if !s.finished {
+		s.finish(errBodyNotRead)
+		s.result.End = admit.EndCancelled
 	}
-	return s.r
+	return s.result
 }
--- a/io/daemon/calls.go
+++ b/io/daemon/calls.go
@@ -33,7 +33,7 @@
 func (h handler) Call(c context.Context, from ident.Daemon, m *wire.Call) *wire.Reply {
 	d := h.d
 	if !d.running.Load() {
-		return peer.Refuse("starting")
+		return peer.NewRefusal("starting")
 	}
 	switch b := m.GetBody().(type) {
 	case *wire.Call_Exchange:
@@ -47,21 +47,21 @@
 		if x := d.store.Pulled(b.Pull); x != nil {
 			return &wire.Reply{Body: &wire.Reply_Delta{Delta: x}}
 		}
-		return peer.Refuse("no-such-document")
+		return peer.NewRefusal("no-such-document")
 	case *wire.Call_Notice:
 		if d.store.Noticed(c, from, b.Notice) {
 			return ack()
 		}
-		return peer.Refuse("not-pulled")
+		return peer.NewRefusal("not-pulled")
 	case *wire.Call_Release:
 		return &wire.Reply{Body: &wire.Reply_Release{Release: d.homes.Release(b.Release)}}
 	case *wire.Call_Retire:
 		if x := d.coord.Retire(b.Retire); x != nil {
 			return &wire.Reply{Body: &wire.Reply_Retired{Retired: x}}
 		}
-		return peer.Refuse("not-retired")
+		return peer.NewRefusal("not-retired")
 	}
-	return peer.Refuse("unknown-call")
+	return peer.NewRefusal("unknown-call")
 }
 
 // caller sends calls to peers.
@@ -103,7 +103,7 @@
 // Exchange implements peer.Handler.
 func (h handler) Exchange(c context.Context, _ ident.Daemon, x *peer.Exchange) {
 	if !h.d.running.Load() {
-		x.Cut()
+		x.Abort()
 		return
 	}
 	h.d.homes.Stream(c, x.Head, x)
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -46,20 +46,20 @@
 	// Read reads the request's body.
 	Read(p []byte) (int, error)
 
-	// Answer takes the head of the answer; its body follows by Write, then Close, or Cut if it is not whole.
-	Answer(a *wire.ExchangeAnswer) error
+	// WriteResponse takes the head of the answer; its body follows by Write, then Close, or Abort if it is not whole.
+	WriteResponse(a *wire.ExchangeAnswer) error
 	Write(p []byte) (int, error)
 	Close() error
-	Cut()
+	Abort()
 }
 
 // Peers carries exchanges to the homes at other daemons.
 type Peers interface {
 	Call(c context.Context, to ident.Daemon, m *wire.Call) (*wire.Reply, error)
-	Open(c context.Context, to ident.Daemon, head *wire.Exchange) (*peer.Exchange, error)
+	OpenExchange(c context.Context, to ident.Daemon, head *wire.Exchange) (*peer.Exchange, error)
 
-	// Down reports whether the last attempt to reach the daemon failed a moment ago.
-	Down(d ident.Daemon) bool
+	// Unreachable reports whether the last attempt to reach the daemon failed a moment ago.
+	Unreachable(d ident.Daemon) bool
 }
 
 // Counter counts final answers.
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -105,13 +105,13 @@
 	h.ran <- x
 	_, err := io.Copy(io.Discard, s)
 	if err != nil {
-		_ = s.Answer(&wire.ExchangeAnswer{Outcome: wire.Outcome_OUTCOME_UNKNOWN, Reason: err.Error()})
+		_ = s.WriteResponse(&wire.ExchangeAnswer{Outcome: wire.Outcome_OUTCOME_UNKNOWN, Reason: err.Error()})
 		return
 	}
-	_ = s.Answer(&wire.ExchangeAnswer{Outcome: wire.Outcome_OUTCOME_ANSWERED, Status: 200, BodyFollows: true, BodySize: 1000})
+	_ = s.WriteResponse(&wire.ExchangeAnswer{Outcome: wire.Outcome_OUTCOME_ANSWERED, Status: 200, BodyFollows: true, BodySize: 1000})
 	_, _ = s.Write(make([]byte, 600))
 	if strings.Contains(string(x.GetUri()), "cut") {
-		s.Cut()
+		s.Abort()
 		return
 	}
 	_, _ = s.Write(make([]byte, 400))
@@ -124,11 +124,11 @@
 	return nil, &peer.Error{Err: io.EOF}
 }
 
-func (noPeers) Open(context.Context, ident.Daemon, *wire.Exchange) (*peer.Exchange, error) {
+func (noPeers) OpenExchange(context.Context, ident.Daemon, *wire.Exchange) (*peer.Exchange, error) {
 	return nil, &peer.Error{Err: io.EOF}
 }
 
-func (noPeers) Down(ident.Daemon) bool { return false }
+func (noPeers) Unreachable(ident.Daemon) bool { return false }
 
 type noCounter struct{}
 
--- a/io/entry/pick.go
+++ b/io/entry/pick.go
@@ -173,7 +173,7 @@
 	if home > standby {
 		return r.Standby
 	}
-	if home == standby && r.Home != e.o.Self && e.o.Peers.Down(r.Home) && !e.o.Peers.Down(r.Standby) {
+	if home == standby && r.Home != e.o.Self && e.o.Peers.Unreachable(r.Home) && !e.o.Peers.Unreachable(r.Standby) {
 		return r.Standby
 	}
 	return r.Home
--- a/io/entry/stream.go
+++ b/io/entry/stream.go
@@ -111,26 +111,26 @@
 
 func (e *Entry) openPeer(t target, h *wire.Exchange, body io.Reader) (*answer, error) {
 	c, cancel := context.WithCancel(context.Background())
-	x, err := e.o.Peers.Open(c, t.daemon, h)
+	x, err := e.o.Peers.OpenExchange(c, t.daemon, h)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	go sendBody(x, h, body)
-	head, err := x.ReadAnswer()
+	head, err := x.ReadResponse()
 	if err != nil {
-		x.Cut()
+		x.Abort()
 		cancel()
 		return nil, err
 	}
-	return &answer{head: head, body: x, end: func() { x.Cut(); cancel() }}, nil
+	return &answer{head: head, body: x, end: func() { x.Abort(); cancel() }}, nil
 }
 
 // sendBody passes the caller's body on. One that the caller cuts off is cut for the home too.
 func sendBody(x *peer.Exchange, h *wire.Exchange, body io.Reader) {
 	if h.GetBodyFollows() {
 		if _, err := io.Copy(struct{ io.Writer }{x}, body); err != nil {
-			x.Cut()
+			x.Abort()
 			return
 		}
 	}
@@ -149,9 +149,9 @@
 func (l *localStream) Read(p []byte) (int, error)  { return l.body.Read(p) }
 func (l *localStream) Write(p []byte) (int, error) { return l.out.Write(p) }
 func (l *localStream) Close() error                { return l.out.Close() }
-func (l *localStream) Cut()                        { _ = l.out.CloseWithError(errCut) }
+func (l *localStream) Abort()                      { _ = l.out.CloseWithError(errCut) }
 
-func (l *localStream) Answer(a *wire.ExchangeAnswer) error {
+func (l *localStream) WriteResponse(a *wire.ExchangeAnswer) error {
 	l.head <- a
 	return nil
 }
--- a/io/entry/unary.go
+++ b/io/entry/unary.go
@@ -302,7 +302,7 @@
 		return nil, false
 	}
 	s := &send{target: t, x: e.address(r, head, t)}
-	s.c, s.cancel = context.WithDeadline(context.Background(), e.o.Clock.Std(r.entry.Deadline()))
+	s.c, s.cancel = context.WithDeadline(context.Background(), e.o.Clock.StdTime(r.entry.Deadline()))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tried.add(t)
--- a/io/feed/ask.go
+++ b/io/feed/ask.go
@@ -136,7 +136,7 @@
 		f.o.Log.Info().Dur("copy-age", f.age(t)).Str("coordinator", string(f.snapshot.Coordinator.Daemon)).Msg("store asked in place of peers")
 	}
 	f.mu.Unlock()
-	asked, boot := f.o.Clock.Now(), f.o.Clock.Boot()
+	asked, boot := f.o.Clock.Now(), f.o.Clock.SinceBoot()
 	if !loaded {
 		return f.readFull(c, t, asked)
 	}
--- a/io/feed/feed.go
+++ b/io/feed/feed.go
@@ -133,7 +133,7 @@
 // New returns a Feed with an empty copy.
 func New(o Options) *Feed {
 	f := &Feed{
-		o: o, changed: make(chan struct{}), coordinatorSeen: o.Clock.Now(), siteSeen: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{Started: o.Clock.Boot()},
+		o: o, changed: make(chan struct{}), coordinatorSeen: o.Clock.Now(), siteSeen: o.Clock.Now(), started: o.Clock.Now(), promise: elect.Promise{Started: o.Clock.SinceBoot()},
 		sources: source.New(o.Self, rand.IntN),
 		snapshot: (&site.Snapshot{
 			Servers: map[ident.Server]*site.Server{}, Evacuated: map[ident.Domain]bool{}, Daemons: map[ident.Daemon]*site.Daemon{},
@@ -268,7 +268,7 @@
 func (f *Feed) ControlAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.o.Clock.Boot() - f.controlConfirmed
+	return f.o.Clock.SinceBoot() - f.controlConfirmed
 }
 
 // Supported reports whether a quorum of the voters supports this daemon as the coordinator.
@@ -279,7 +279,7 @@
 }
 
 func (f *Feed) supported() bool {
-	return f.support.HasQuorum(f.o.Clock.Boot(), f.o.Self, voters(f.snapshot), f.proposedVoters)
+	return f.support.HasQuorum(f.o.Clock.SinceBoot(), f.o.Self, voters(f.snapshot), f.proposedVoters)
 }
 
 // HasTurn reports whether this daemon is the coordinator of the term and has the quorum that it needs. A term without quorum
@@ -326,7 +326,7 @@
 func (f *Feed) Silent(began, d time.Duration) []ident.Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.support.Silent(f.o.Clock.Boot(), began, d, f.o.Self, f.snapshot.Daemons)
+	return f.support.Silent(f.o.Clock.SinceBoot(), began, d, f.o.Self, f.snapshot.Daemons)
 }
 
 // Withdraw ends this daemon's support for coordinators up to the term. It reports false when support can't be withdrawn.
@@ -336,7 +336,7 @@
 	if f.leads() {
 		return false // a coordinator supports itself
 	}
-	return f.promise.Withdraw(f.o.Clock.Boot(), t)
+	return f.promise.Withdraw(f.o.Clock.SinceBoot(), t)
 }
 
 // ConfirmControl records that the store answered a request for the control table that was made at the time asked.
--- a/io/feed/sync.go
+++ b/io/feed/sync.go
@@ -196,7 +196,7 @@
 	// A daemon with access to the store doesn't support a coordinator without it: another daemon has to take over.
 	able := now.Sub(asOf) < f.staleAfter() || now.Sub(f.asOf[store.Orders]) > f.staleAfter()
 	able = able && f.announcedRev > 0 && f.tables[store.Control].rev >= f.announcedRev
-	if t := site.Term(r.GetTerm()); able && r.GetStamp() > 0 && f.promise.Renew(f.o.Clock.Boot(), t, duration(r.GetPromiseUs())) {
+	if t := site.Term(r.GetTerm()); able && r.GetStamp() > 0 && f.promise.Renew(f.o.Clock.SinceBoot(), t, duration(r.GetPromiseUs())) {
 		f.promiseStamp, f.promiseTerm, f.promiseDuration = r.GetStamp(), t, duration(r.GetPromiseUs())
 	}
 	if h := r.GetHolds(); h != nil {
@@ -310,7 +310,7 @@
 		if f.supported() {
 			r.ReachedAgeUs = 0 // without a quorum this coordinator may be isolated together with the daemons that still call it
 		}
-		r.Stamp = uint64(f.o.Clock.Boot()) //nolint:gosec // time since the start of the host
+		r.Stamp = uint64(f.o.Clock.SinceBoot()) //nolint:gosec // time since the start of the host
 		r.PromiseUs = micros(elect.PromiseTime(f.snapshot))
 	}
 	if peer := decodeStamp(x.GetHolds()); f.holds != nil && peer.Before(f.holds.Stamp) {
--- a/io/grant/elect.go
+++ b/io/grant/elect.go
@@ -56,7 +56,7 @@
 			x.Expect = append(x.Expect, store.Expect{Key: feed.DaemonRow(d), Rev: r})
 		}
 	}
-	asked := g.o.Clock.Boot()
+	asked := g.o.Clock.SinceBoot()
 	if rev, err = g.o.Store.Commit(c, x); err != nil {
 		g.o.Log.Info().Err(err).Uint64("term", uint64(was.Term)+1).Msg("did not become the coordinator")
 		clear(g.given) // one of them may have started again
@@ -82,7 +82,7 @@
 	}
 	g.rates.reset()
 	g.planned = 0
-	g.began, g.supported = g.o.Clock.Boot(), g.o.Clock.Now()
+	g.began, g.supported = g.o.Clock.SinceBoot(), g.o.Clock.Now()
 }
 
 // stop ends a term.
--- a/io/grant/link.go
+++ b/io/grant/link.go
@@ -66,7 +66,7 @@
 	if x != nil {
 		x.close()
 	}
-	o := conns.Options{Addr: s.Addr, MaxConns: 1, DialTimeout: orderDial, ProbeEvery: conns.NoProbes, Names: conns.NoNames}
+	o := conns.Options{Addr: s.Addr, MaxConns: 1, DialTimeout: orderDial, ProbeInterval: conns.NoProbes, Names: conns.NoNames}
 	x = &link{server: s, grants: conns.New(o), spare: conns.New(o)}
 	o.MaxConns, o.DialTimeout = maxReleases, patientDial
 	x.releases, x.room = conns.New(o), make(chan struct{}, maxReleases)
@@ -92,8 +92,8 @@
 	l.looked = now
 	p := l.spare
 	g.group.Go(func(c context.Context) error {
-		p.Warm(c, now.Add(patientDial)) // one that isn't opened is tried again with a later order
-		l.releases.Warm(c, now.Add(patientDial))
+		p.Preconnect(c, now.Add(patientDial)) // one that isn't opened is tried again with a later order
+		l.releases.Preconnect(c, now.Add(patientDial))
 		return nil
 	})
 }
@@ -156,7 +156,7 @@
 	switch x := d.order.(type) {
 	case hold.Grant:
 		g.o.Speaker.Grant(req, x)
-		call.Deadline, call.Reuse = g.o.Clock.Std(x.Ends), x.Renewal
+		call.Deadline, call.ReuseOnly = g.o.Clock.StdTime(x.Ends), x.Renewal
 		r, d.lost = g.grant(c, l, call, req, resp)
 	case hold.Release:
 		g.o.Speaker.Release(req, x)
@@ -170,7 +170,7 @@
 
 func (g *Granter) releaseDeadline(until mono.Time) time.Time {
 	now := g.o.Clock.Now()
-	return g.o.Clock.Std(max(now.Add(g.o.Terms.Timeout), min(until, now.Add(releaseOver))))
+	return g.o.Clock.StdTime(max(now.Add(g.o.Terms.Timeout), min(until, now.Add(releaseOver))))
 }
 
 func (g *Granter) result(o hold.Order, r conns.Result, resp *fasthttp.Response) hold.Result {
--- a/io/group/group.go
+++ b/io/group/group.go
@@ -1,4 +1,4 @@
-// Package group runs duties that stop together.
+// Package group runs goroutines that stop together.
 package group
 
 import (
@@ -6,25 +6,25 @@
 	"sync"
 )
 
-// Group is a set of goroutines with one context: the first error, or Stop, ends all of them.
+// Group is a set of goroutines with one context, which ends on the first error or on Stop.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	wait   sync.WaitGroup
 }
 
-// New returns a group whose duties end with the parent context at the latest.
+// New returns a group whose context ends with the parent context at the latest.
 func New(c context.Context) *Group {
 	x, cancel := context.WithCancelCause(c)
 	return &Group{ctx: x, cancel: cancel}
 }
 
-// Context returns the context that ends with the group.
+// Context returns the context of the group.
 func (g *Group) Context() context.Context {
 	return g.ctx
 }
 
-// Go starts a duty; an error from it ends the whole group.
+// Go runs f on a new goroutine; an error from it ends the whole group.
 func (g *Group) Go(f func(context.Context) error) {
 	g.wait.Go(func() {
 		if err := f(g.ctx); err != nil {
@@ -33,13 +33,13 @@
 	})
 }
 
-// Stop ends the group and waits for its duties.
+// Stop ends the context and waits for all goroutines of the group.
 func (g *Group) Stop() {
 	g.cancel(context.Canceled)
 	g.wait.Wait()
 }
 
-// Wait waits until the group has ended and returns why.
+// Wait waits until the context and all goroutines have ended, and returns the cause.
 func (g *Group) Wait() error {
 	<-g.ctx.Done()
 	g.wait.Wait()
--- a/io/home/exchange.go
+++ b/io/home/exchange.go
@@ -266,7 +266,7 @@
 }
 
 func (h *Home) call(j *job) conns.Call {
-	x := conns.Call{Deadline: h.o.Clock.Std(j.deadline), Guard: func() bool { return h.maySend(j) }}
+	x := conns.Call{Deadline: h.o.Clock.StdTime(j.deadline), Guard: func() bool { return h.maySend(j) }}
 	if j.suspect > 0 {
 		x.SuspectAt = time.Now().Add(j.suspect)
 	}
@@ -345,12 +345,12 @@
 	req.SetRequestURIBytes(j.x.GetUri())
 	m := conns.Meta{
 		RequestID: ident.Request(j.x.GetRequestId()), Epoch: j.epoch,
-		Deadline: h.o.Clock.Wall(j.deadline), Shard: ident.Shard(j.x.GetShard()),
+		Deadline: h.o.Clock.WallTime(j.deadline), Shard: ident.Shard(j.x.GetShard()),
 	}
 	if j.keyed {
 		m.Key = j.x.GetKey()
 	}
-	conns.Stamp(req, m)
+	conns.SetHeaders(req, m)
 }
 
 func encodeHeaders(resp *fasthttp.Response) []*wire.Header {
--- a/io/home/home.go
+++ b/io/home/home.go
@@ -82,7 +82,7 @@
 func (h *Home) newPool(v config.Server) *conns.Pool {
 	return conns.New(conns.Options{
 		Addr: v.Addr, MaxConns: min(v.Conns, v.Slots*2+spareConns),
-		Lost: func() { h.connLost.Store(true) }, // without the lock: the pool is closed under it, and waits for its probes
+		OnIdleClosed: func() { h.connLost.Store(true) }, // without the lock: the pool is closed under it, and waits for its probes
 	})
 }
 
@@ -267,7 +267,7 @@
 }
 
 func (h *Home) probe(p *conns.Pool, asked mono.Time) {
-	x, err := p.Probe(h.o.Clock.Std(asked.Add(probeLimit)))
+	x, err := p.Probe(h.o.Clock.StdTime(asked.Add(probeLimit)))
 	if err != nil {
 		x = admit.Health{}
 	}
--- a/io/home/stream.go
+++ b/io/home/stream.go
@@ -18,11 +18,11 @@
 	// Read reads the request's body.
 	Read(p []byte) (int, error)
 
-	// Answer takes the head of the answer; its body follows by Write, then Close, or Cut if it is not whole.
-	Answer(a *wire.ExchangeAnswer) error
+	// WriteResponse takes the head of the answer; its body follows by Write, then Close, or Abort if it is not whole.
+	WriteResponse(a *wire.ExchangeAnswer) error
 	Write(p []byte) (int, error)
 	Close() error
-	Cut()
+	Abort()
 }
 
 const copyBuffer = 64 << 10
@@ -44,7 +44,7 @@
 
 // finish gives an answer without a body.
 func finish(t Stream, a *wire.ExchangeAnswer) {
-	if t.Answer(a) == nil {
+	if t.WriteResponse(a) == nil {
 		_ = t.Close() // the entry may have gone
 	}
 }
@@ -66,9 +66,9 @@
 		Outcome: wire.Outcome_OUTCOME_ANSWERED, Status: uint32(resp.StatusCode()), Headers: encodeHeaders(resp),
 		BodyFollows: true, BodySize: bodySize(resp),
 	}
-	if err := t.Answer(a); err != nil {
+	if err := t.WriteResponse(a); err != nil {
 		h.end(j, s.Close())
-		t.Cut()
+		t.Abort()
 		return
 	}
 	h.pass(j, s, t)
@@ -87,7 +87,7 @@
 	r := s.Close()
 	h.end(j, r)
 	if err != nil || r.Outcome != retry.Answered {
-		t.Cut()
+		t.Abort()
 		return
 	}
 	if err := t.Close(); err != nil && !errors.Is(err, io.ErrClosedPipe) {
--- a/io/hosts/hosts.go
+++ b/io/hosts/hosts.go
@@ -1,4 +1,4 @@
-// Package hosts reads the platform's list of live and leaving hosts, a JSON page that lags behind the truth.
+// Package hosts reads the platform's list of live and leaving hosts, a JSON page that may be outdated.
 package hosts
 
 import (
@@ -15,45 +15,46 @@
 	"heatherrouter/core/ident"
 )
 
-// State is what the list says of a host.
+// State is the state of a host in the list.
 type State string
 
 const (
-	// Live is a host that is to be used.
+	// Live marks a host that is available for use.
 	Live State = "live"
-	// Leaving is a host that is about to be taken away.
+	// Leaving marks a host that is about to be removed.
 	Leaving State = "leaving"
 )
 
-// Host is one host of the list.
+// Host is one entry of the list.
 type Host struct {
 	Name   ident.Daemon   `json:"name"`
-	Peer   netip.AddrPort `json:"peer"` // where the other daemons reach it
+	Peer   netip.AddrPort `json:"peer"` // address for other daemons
 	Domain ident.Domain   `json:"domain"`
 	Region ident.Region   `json:"region"`
 	State  State          `json:"state"`
 }
 
-// Page is the form of the list.
+// Page is the JSON format of the list.
 type Page struct {
 	Hosts []Host `json:"hosts"`
 }
 
-// maxPage bounds what is read; a host takes about 120 bytes.
-const maxPage = 4 << 20
+// maxPageSize limits the bytes read; a host takes about 120 bytes.
+const maxPageSize = 4 << 20
 
-// Client reads the list.
+// Client fetches the list.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// New returns a client for the page at the URL; the HTTP client brings its own timeout.
+// New returns a client for the page at the URL; the HTTP client must have a timeout.
 func New(url string, c *http.Client) *Client {
 	return &Client{url: url, http: c}
 }
 
-// List returns the hosts in the order of the page. Findings about bad entries are reported together.
+// List returns the hosts in the order of the page. All faults of the entries are reported together, as
+// check.Findings.
 func (c *Client) List(ctx context.Context) ([]Host, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, http.NoBody)
 	if err != nil {
@@ -61,17 +62,17 @@
 	}
 	a, err := c.http.Do(r)
 	if err != nil {
-		// One dead connection in the pool may mean more of them; the next call starts on a new one.
+		// If one pooled connection has failed, others may have too; the next call dials a new one.
 		c.http.CloseIdleConnections()
-		return nil, trace.ConnectionProblem(err, "host list")
+		return nil, trace.ConnectionProblem(err, "fetch host list from %s", c.url)
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return nil, trace.ConnectionProblem(nil, "host list answers %s", a.Status)
+		return nil, trace.ConnectionProblem(nil, "fetch host list from %s: status %s", c.url, a.Status)
 	}
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxPage))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxPageSize))
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "host list")
+		return nil, trace.ConnectionProblem(err, "read host list from %s", c.url)
 	}
 	return c.parse(b)
 }
@@ -110,7 +111,7 @@
 	if h.Name == "" {
 		add("name", "missing")
 	} else if seen[h.Name] {
-		add("name", "%q stands twice", h.Name)
+		add("name", "%q is listed twice", h.Name)
 	}
 	seen[h.Name] = true
 	if !h.Peer.IsValid() {
--- a/io/hosts/hosts_test.go
+++ b/io/hosts/hosts_test.go
@@ -29,7 +29,7 @@
 	f.Set(h)
 	l, err = c.List(t.Context())
 	require.NoError(t, err)
-	require.Empty(t, l, "not yet seen")
+	require.Empty(t, l, "the change is not visible before the lag has passed")
 	require.Eventually(t, func() bool {
 		l, err = c.List(t.Context())
 		return err == nil && len(l) == 1
@@ -41,14 +41,14 @@
 	tests := []struct {
 		name, page string
 		status     int
-		findings   int // 0 for a page that can't be had
+		findings   int // 0 if the page cannot be fetched
 	}{
-		{"no page", `{"hosts":[]}`, 500, 0},
-		{"no JSON", `<html>`, 200, 1},
-		{"every fault at once", `{"hosts":[{"name":"a","peer":"127.0.0.1:1","domain":"d","state":"gone"},
+		{"status 500", `{"hosts":[]}`, 500, 0},
+		{"not JSON", `<html>`, 200, 1},
+		{"all faults reported together", `{"hosts":[{"name":"a","peer":"127.0.0.1:1","domain":"d","state":"gone"},
 			{"name":"a","peer":"x","domain":"d","state":"live"},
 			{"name":"","domain":"","state":"live"}]}`, 200, 5},
-		{"twice", `{"hosts":[{"name":"a","peer":"127.0.0.1:1","domain":"d","state":"live"},
+		{"duplicate name", `{"hosts":[{"name":"a","peer":"127.0.0.1:1","domain":"d","state":"live"},
 			{"name":"a","peer":"127.0.0.1:2","domain":"d","state":"live"}]}`, 200, 1},
 	}
 	for _, tt := range tests {
--- a/io/lines/lines.go
+++ b/io/lines/lines.go
@@ -29,7 +29,7 @@
 // Writer is the writer of one process's log.
 type Writer struct {
 	out     io.Writer
-	ring    *ring.Ring[[]byte]
+	ring    *ring.Queue[[]byte]
 	dropped atomic.Int64
 
 	mu     sync.Mutex
--- a/io/member/member.go
+++ b/io/member/member.go
@@ -94,7 +94,7 @@
 	g.Go(m.listLoop)
 }
 
-// Addr implements peer.Book.
+// Addr implements peer.Resolver.
 func (m *Members) Addr(d ident.Daemon) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/io/node/identity.go
+++ b/io/node/identity.go
@@ -90,12 +90,12 @@
 	return nil
 }
 
-// book finds the addresses of peers. It implements peer.Book.
+// book finds the addresses of peers. It implements peer.Resolver.
 type book struct {
 	snapshot func() *site.Snapshot
 }
 
-// Addr implements peer.Book.
+// Addr implements peer.Resolver.
 func (b book) Addr(d ident.Daemon) (netip.AddrPort, bool) {
 	x := b.snapshot().Daemons[d]
 	if x == nil {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -130,7 +130,7 @@
 		return err
 	}
 	n.peers, err = peer.New(n.group.Context(), peer.Options{
-		Self: s.Name, Listen: s.Peer, Book: book{n.feed.Snapshot}, TLS: n.id, Handler: handler{n.feed, n.limiter}, Log: n.o.Log,
+		Self: s.Name, Listen: s.Peer, Resolver: book{n.feed.Snapshot}, TLS: n.id, Handler: handler{n.feed, n.limiter}, Log: n.o.Log,
 	})
 	if err != nil {
 		l.close()
@@ -437,7 +437,7 @@
 }
 
 // Exchange implements peer.Handler.
-func (handler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Cut() }
+func (handler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Abort() }
 
 // Leads reports whether the daemon is the coordinator of its site, as far as it knows.
 func (n *Node) Leads() bool { return n.feed.Leads() }
--- a/io/peer/exchange.go
+++ b/io/peer/exchange.go
@@ -11,29 +11,29 @@
 	"heatherrouter/io/wire"
 )
 
-// cutCode resets a stream whose body did not end as it should, so that the other side sees it as cut.
-const cutCode quic.StreamErrorCode = 1
+// resetCode resets a stream whose body did not end normally, so that the other side detects the truncation.
+const resetCode quic.StreamErrorCode = 1
 
-// Exchange is one request with streamed bodies, on a stream of its own.
+// Exchange is one request with streamed bodies, on a QUIC stream of its own.
 //
-// The end of a body is the end of its direction of the stream; a reset stands for a cut body. So a body that
-// ends early can't be taken for a whole one.
+// A body ends with its direction of the stream; a reset marks a truncated body. So a body that ends early cannot be
+// taken for a whole one.
 type Exchange struct {
-	Head *wire.Exchange // set on the answering side
+	Head *wire.Exchange // set on the serving side only
 
-	s *quic.Stream
-	r *bufio.Reader
+	stream *quic.Stream
+	reader *bufio.Reader
 }
 
-// Answer sends the head of the answer; its body, if any, is written with Write and ended with Close or Cut.
-func (x *Exchange) Answer(a *wire.ExchangeAnswer) error {
+// WriteResponse sends the head of the response. A body follows with Write and ends with Close or Abort.
+func (x *Exchange) WriteResponse(a *wire.ExchangeAnswer) error {
 	return x.send(&wire.Reply{Body: &wire.Reply_Exchange{Exchange: a}})
 }
 
-// ReadAnswer reads the head of the answer; its body is then read with Read.
-func (x *Exchange) ReadAnswer() (*wire.ExchangeAnswer, error) {
+// ReadResponse reads the head of the response; Read then reads its body.
+func (x *Exchange) ReadResponse() (*wire.ExchangeAnswer, error) {
 	m := &wire.Reply{}
-	if err := readFrame(x.r, m); err != nil {
+	if err := readFrame(x.reader, m); err != nil {
 		return nil, &Error{Sent: true, Err: err}
 	}
 	if a := m.GetExchange(); a != nil {
@@ -42,30 +42,31 @@
 	return nil, &Error{Sent: false, Err: io.ErrUnexpectedEOF}
 }
 
-// Read reads the other side's body; io.EOF only when it is whole.
+// Read reads the other side's body. It returns io.EOF only at the end of a whole body.
 func (x *Exchange) Read(p []byte) (int, error) {
-	return x.r.Read(p)
+	return x.reader.Read(p)
 }
 
 // Write writes this side's body.
 func (x *Exchange) Write(p []byte) (int, error) {
-	return x.s.Write(p)
+	return x.stream.Write(p)
 }
 
-// Close ends this side's body as whole.
+// Close marks this side's body as whole and ends it.
 func (x *Exchange) Close() error {
-	return x.s.Close()
+	return x.stream.Close()
 }
 
-// Cut ends both directions; the other side sees its body cut.
-func (x *Exchange) Cut() {
-	x.s.CancelWrite(cutCode)
-	x.s.CancelRead(cutCode)
+// Abort ends both directions; the other side sees a truncated body.
+func (x *Exchange) Abort() {
+	x.stream.CancelWrite(resetCode)
+	x.stream.CancelRead(resetCode)
 }
 
-// Done ends when the other side has gone.
+// Done returns a channel that is closed when this side's direction has ended: it was closed, or the other side
+// stopped reading.
 func (x *Exchange) Done() <-chan struct{} {
-	return x.s.Context().Done()
+	return x.stream.Context().Done()
 }
 
 func (x *Exchange) send(m *wire.Reply) error {
@@ -74,12 +75,13 @@
 		return err
 	}
 	defer freeFrame(data)
-	_, err = x.s.Write(*data)
+	_, err = x.stream.Write(*data)
 	return err
 }
 
-// Open starts a streamed exchange with a peer. The request's body is written to the result and ended with Close.
-func (t *Transport) Open(c context.Context, to ident.Daemon, head *wire.Exchange) (*Exchange, error) {
+// OpenExchange starts a streamed exchange with a peer. The request body is written to the result and ended with
+// Close.
+func (t *Transport) OpenExchange(c context.Context, to ident.Daemon, head *wire.Exchange) (*Exchange, error) {
 	l, err := t.link(c, to)
 	if err != nil {
 		return nil, &Error{Sent: false, Err: err}
@@ -93,21 +95,21 @@
 	}
 	data, err := encodeFrame(&wire.Call{Body: &wire.Call_Exchange{Exchange: head}})
 	if err != nil {
-		s.CancelWrite(cutCode)
+		s.CancelWrite(resetCode)
 		return nil, &Error{Sent: false, Err: err}
 	}
 	defer freeFrame(data)
-	if _, err := s.Write(append([]byte{byte(exchangeStream)}, *data...)); err != nil {
+	if _, err := s.Write(append([]byte{byte(exchangeStreamKind)}, *data...)); err != nil {
 		return nil, &Error{Sent: true, Err: err}
 	}
-	return &Exchange{s: s, r: bufio.NewReaderSize(s, laneBuffer)}, nil
+	return &Exchange{stream: s, reader: bufio.NewReaderSize(s, readBufferSize)}, nil
 }
 
 func (t *Transport) serveExchange(c context.Context, s *quic.Stream, from ident.Daemon) {
-	x := &Exchange{s: s, r: bufio.NewReaderSize(s, laneBuffer)}
+	x := &Exchange{stream: s, reader: bufio.NewReaderSize(s, readBufferSize)}
 	m := &wire.Call{}
-	if err := readFrame(x.r, m); err != nil || m.GetExchange() == nil {
-		x.Cut()
+	if err := readFrame(x.reader, m); err != nil || m.GetExchange() == nil {
+		x.Abort()
 		return
 	}
 	x.Head = m.GetExchange()
--- a/io/peer/frame.go
+++ b/io/peer/frame.go
@@ -10,25 +10,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxFrame bounds one message, so that a broken peer can't make us allocate without limit.
-const maxFrame = 16 << 20
+// maxFrameSize limits the bytes of one message, so that a faulty peer cannot cause unbounded allocations.
+const maxFrameSize = 16 << 20
 
-const frameHead = 4 // bytes of the length in front of each message
+const frameHeaderSize = 4 // bytes of the length prefix
 
-var framePool = sync.Pool{New: func() any { b := make([]byte, frameHead, 2048); return &b }}
+var framePool = sync.Pool{New: func() any { b := make([]byte, frameHeaderSize, 2048); return &b }}
 
-// encodeFrame returns the message with its length in front, in a buffer for freeFrame.
+// encodeFrame returns the message with its length prefix, in a pooled buffer that freeFrame returns.
 func encodeFrame(m proto.Message) (*[]byte, error) {
 	p, _ := framePool.Get().(*[]byte)
-	b := (*p)[:frameHead]
+	b := (*p)[:frameHeaderSize]
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(b)-frameHead > maxFrame {
-		return nil, trace.LimitExceeded("message of %d bytes is over the frame limit", len(b))
+	if len(b)-frameHeaderSize > maxFrameSize {
+		return nil, trace.LimitExceeded("encode frame: message of %d bytes exceeds the limit of %d", len(b)-frameHeaderSize, maxFrameSize)
 	}
-	binary.BigEndian.PutUint32(b, uint32(len(b)-frameHead))
+	binary.BigEndian.PutUint32(b, uint32(len(b)-frameHeaderSize))
 	*p = b
 	return p, nil
 }
@@ -41,13 +41,13 @@
 
 // readFrame reads one message into m.
 func readFrame(r *bufio.Reader, m proto.Message) error {
-	var head [frameHead]byte
+	var head [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return err
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
-	if n > maxFrame {
-		return trace.LimitExceeded("peer sent a message of %d bytes", n)
+	if n > maxFrameSize {
+		return trace.LimitExceeded("read frame: message of %d bytes exceeds the limit of %d", n, maxFrameSize)
 	}
 	p, _ := framePool.Get().(*[]byte)
 	defer freeFrame(p)
--- a/io/peer/lane.go
+++ b/io/peer/lane.go
@@ -12,52 +12,53 @@
 )
 
 const (
-	// A daemon may be connected with hundreds of others, with six lane ends each, so what a lane holds while it is
-	// idle counts: with buffers of 64 and 128 KiB a connection held 1.4 MB.
-	laneRing   = 128      // frames that wait for a lane's writer
-	laneBuffer = 4 << 10  // bytes that a lane's reader asks for at once
-	maxBatch   = 64 << 10 // bytes of frames joined into one write, in a buffer that is shared
+	// A daemon may have connections to hundreds of others, each with six call stream ends, so the idle memory of a
+	// stream matters: with buffers of 64 and 128 KiB a connection used 1.4 MB.
+	sendQueueLen   = 128      // frames queued for the writer of a call stream
+	readBufferSize = 4 << 10  // bytes, buffer of a stream's reader
+	maxBatchSize   = 64 << 10 // bytes of frames combined into one write, in a pooled buffer
 
-	maxInFlight = 4096 // calls that a peer may have open on one lane
+	maxInFlight = 4096 // concurrent calls of a peer on one call stream
 )
 
-// frame is one encoded message on its way to a lane's writer.
+// frame is one encoded message queued for the writer of a call stream.
 type frame struct {
 	data *[]byte
-	call *pending // nil on the answering side
+	call *pending // nil on the serving side
 }
 
 // pending is a call that waits for its reply.
 type pending struct {
 	reply chan *wire.Reply
 
-	mu    sync.Mutex
-	taken bool // the writer has it, so that the peer may have seen it
-	dead  bool // given up before the writer took it
+	mu        sync.Mutex
+	writing   bool // the writer has accepted the call, so the peer may receive it
+	abandoned bool // the caller gave up before the writer accepted the call
 }
 
-// take marks the call as possibly seen by the peer, unless it was given up before.
-func (p *pending) take() bool {
+// startWrite marks the call as possibly received by the peer, unless it was abandoned before. It reports whether to
+// write it.
+func (p *pending) startWrite() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.taken = !p.dead
-	return p.taken
+	p.writing = !p.abandoned
+	return p.writing
 }
 
-// giveUp ends the wait and reports whether the peer may have seen the call.
+// abandon ends the wait and reports whether the peer may have received the call.
 //
-// A call given up while it still waits in the ring must not go out later: its caller may have sent the
-// request elsewhere already, and it would run twice.
-func (p *pending) giveUp() (sent bool) {
+// A call abandoned while queued must not be sent later: its caller may have sent the request elsewhere already, and
+// it would run twice.
+func (p *pending) abandon() (sent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dead = !p.taken
-	return p.taken
+	p.abandoned = !p.writing
+	return p.writing
 }
 
-// writeLane joins the frames that wait in the ring into few writes.
-// One write per frame would cost one packet and one wake-up each; this way the cost is shared under load.
-func writeLane(c context.Context, w io.Writer, r *ring.Ring[frame]) error {
+// writeFrames combines queued frames into few writes. One write per frame would cost a packet and a wake-up each;
+// under load, frames share this cost.
+func writeFrames(c context.Context, w io.Writer, r *ring.Queue[frame]) error {
 	for {
 		f, err := r.Take(c)
 		if err != nil {
@@ -69,22 +70,22 @@
 	}
 }
 
-var batchPool = sync.Pool{New: func() any { b := make([]byte, 0, maxBatch); return &b }}
+var batchPool = sync.Pool{New: func() any { b := make([]byte, 0, maxBatchSize); return &b }}
 
-// writeBatch writes a frame and those that wait behind it.
-func writeBatch(w io.Writer, r *ring.Ring[frame], f frame) error {
+// writeBatch writes a frame and those queued behind it.
+func writeBatch(w io.Writer, r *ring.Queue[frame], f frame) error {
 	p, _ := batchPool.Get().(*[]byte)
 	defer batchPool.Put(p)
 	batch := appendFrame((*p)[:0], f)
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchSize {
 		f, ok := r.TryTake()
 		if !ok {
 			break
 		}
 		batch = appendFrame(batch, f)
 	}
-	if cap(batch) <= 2*maxBatch {
-		*p = batch[:0] // grown a little; one grown by a large body is left to the collector
+	if cap(batch) <= 2*maxBatchSize {
+		*p = batch[:0] // a buffer grown by a large body is left to the garbage collector
 	}
 	if len(batch) == 0 {
 		return nil
@@ -95,15 +96,15 @@
 
 func appendFrame(b []byte, f frame) []byte {
 	defer freeFrame(f.data)
-	if f.call != nil && !f.call.take() {
+	if f.call != nil && !f.call.startWrite() {
 		return b
 	}
 	return append(b, *f.data...)
 }
 
-// lane is the calling side of one long-lived stream.
-type lane struct {
-	out  *ring.Ring[frame]
+// callStream is the calling side of one long-lived stream that carries many calls.
+type callStream struct {
+	out  *ring.Queue[frame]
 	done context.Context
 
 	mu      sync.Mutex
@@ -111,12 +112,12 @@
 	waiting map[uint64]*pending
 }
 
-func newLane(done context.Context) *lane {
-	return &lane{out: ring.New[frame](laneRing), done: done, waiting: map[uint64]*pending{}}
+func newCallStream(done context.Context) *callStream {
+	return &callStream{out: ring.New[frame](sendQueueLen), done: done, waiting: map[uint64]*pending{}}
 }
 
-// call sends m and waits for its reply.
-func (l *lane) call(c context.Context, m *wire.Call) (*wire.Reply, error) {
+// call sends m and waits for its reply, at most until the context or the connection ends.
+func (l *callStream) call(c context.Context, m *wire.Call) (*wire.Reply, error) {
 	p := &pending{reply: make(chan *wire.Reply, 1)}
 	m.Id = l.add(p)
 	defer l.remove(m.Id)
@@ -131,13 +132,13 @@
 	case r := <-p.reply:
 		return r, nil
 	case <-c.Done():
-		return nil, &Error{Sent: p.giveUp(), Err: context.Cause(c)}
+		return nil, &Error{Sent: p.abandon(), Err: context.Cause(c)}
 	case <-l.done.Done():
-		return nil, &Error{Sent: p.giveUp(), Err: context.Cause(l.done)}
+		return nil, &Error{Sent: p.abandon(), Err: context.Cause(l.done)}
 	}
 }
 
-func (l *lane) put(c context.Context, f frame) error {
+func (l *callStream) put(c context.Context, f frame) error {
 	if l.out.TryPut(f) {
 		return nil
 	}
@@ -148,7 +149,7 @@
 	return l.out.Put(x, f)
 }
 
-func (l *lane) add(p *pending) uint64 {
+func (l *callStream) add(p *pending) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
@@ -156,15 +157,15 @@
 	return l.next
 }
 
-func (l *lane) remove(id uint64) {
+func (l *callStream) remove(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.waiting, id)
 }
 
-// read hands each reply to the call that waits for it; a late one, whose call has been given up, is discarded.
-func (l *lane) read(r io.Reader) error {
-	b := bufio.NewReaderSize(r, laneBuffer)
+// read passes each reply to its pending call. A late reply, whose call was abandoned, is discarded.
+func (l *callStream) read(r io.Reader) error {
+	b := bufio.NewReaderSize(r, readBufferSize)
 	for {
 		m := &wire.Reply{}
 		if err := readFrame(b, m); err != nil {
@@ -180,9 +181,9 @@
 	}
 }
 
-// Error tells whether a failed call may have reached the peer.
+// Error is a failed call, with the information whether it may have reached the peer.
 type Error struct {
-	Sent bool // the peer may have seen the call
+	Sent bool // the peer may have received the call
 	Err  error
 }
 
@@ -199,7 +200,7 @@
 	return e.Err
 }
 
-// MaybeSent reports whether the peer may have seen the call that failed with err.
+// MaybeSent reports whether the peer may have received the call that failed with err.
 func MaybeSent(err error) bool {
 	var e *Error
 	return !errors.As(err, &e) || e.Sent
--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -13,52 +13,52 @@
 	"heatherrouter/io/wire"
 )
 
-// dataLanes is how many streams carry exchanges; leases and documents have one of their own, so that they
-// never wait behind bodies.
-const dataLanes = 2
+// dataStreams is the number of call streams for exchanges. Leases and documents have a stream of their own, so that
+// they never wait behind bodies.
+const dataStreams = 2
 
-// link is the calling side of one connection with a peer, which either of them may have dialled.
+// link is the calling side of one connection with a peer; either side may have dialled it.
 type link struct {
-	conn    *quic.Conn
-	control *lane
-	data    [dataLanes]*lane
-	turn    atomic.Uint32
+	conn     *quic.Conn
+	control  *callStream
+	data     [dataStreams]*callStream
+	nextData atomic.Uint32
 }
 
-// lane chooses the stream for a call.
-func (l *link) lane(m *wire.Call) *lane {
+// streamFor returns the call stream for a call.
+func (l *link) streamFor(m *wire.Call) *callStream {
 	if m.GetExchange() == nil {
 		return l.control
 	}
-	return l.data[l.turn.Add(1)%dataLanes]
+	return l.data[l.nextData.Add(1)%dataStreams]
 }
 
 func (l *link) close(why string) {
-	_ = l.conn.CloseWithError(0, why) // fails only when already closed
+	_ = l.conn.CloseWithError(0, why) // fails only if already closed
 }
 
-// try is one attempt to connect, shared by all calls that wait for it.
-type try struct {
-	done  chan struct{}
-	link  *link
-	err   error
-	until time.Time // a failed attempt stands for an answer until then
-	after error     // of the attempt before, when that failed
+// attempt is one attempt to connect, shared by all calls that wait for it.
+type attempt struct {
+	done        chan struct{}
+	link        *link
+	err         error
+	retryAt     time.Time // time until which calls get the error of a failed attempt
+	previousErr error     // error of the previous attempt, nil if it succeeded or there was none
 }
 
-// failure returns why the attempt failed, or nil. There may have been none.
-func (x *try) failure() error {
+// failure returns the error of the attempt; nil if it succeeded or x is nil.
+func (x *attempt) failure() error {
 	if x == nil {
 		return nil
 	}
 	return x.err
 }
 
-// Down reports whether the last attempt to reach the daemon failed and none has succeeded since.
-func (t *Transport) Down(d ident.Daemon) bool {
+// Unreachable reports whether the last finished attempt to connect to the daemon failed.
+func (t *Transport) Unreachable(d ident.Daemon) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x := t.tries[d]
+	x := t.attempts[d]
 	if x == nil {
 		return false
 	}
@@ -66,14 +66,14 @@
 	case <-x.done:
 		return x.err != nil
 	default:
-		return x.after != nil
+		return x.previousErr != nil
 	}
 }
 
-// link returns the connection to a peer, made when there is none.
+// link returns the connection to a peer and dials if there is none.
 //
-// All callers share one attempt, and after a failed one the next waits redialPause: when a host dies, thousands
-// of requests ask for it at once, and each starting a handshake would drown the rest of the daemon.
+// All callers share one attempt, and after a failed one the next waits for redialDelay: when a host fails, thousands
+// of requests need a connection to it at once, and a handshake for each would starve the rest of the daemon.
 func (t *Transport) link(c context.Context, to ident.Daemon) (*link, error) {
 	t.mu.Lock()
 	if l := t.links[to]; l != nil {
@@ -83,24 +83,24 @@
 		}
 		delete(t.links, to)
 	}
-	x := t.tries[to]
-	if x == nil || x.over(time.Now()) {
-		x = &try{done: make(chan struct{}), after: x.failure()}
-		t.tries[to] = x
+	x := t.attempts[to]
+	if x == nil || x.expired(time.Now()) {
+		x = &attempt{done: make(chan struct{}), previousErr: x.failure()}
+		t.attempts[to] = x
 		t.group.Go(func(c context.Context) error {
 			t.connect(c, to, x)
 			return nil
 		})
 	}
 	t.mu.Unlock()
-	if x.after != nil {
-		// The last attempt failed as well: nobody waits for this one, so that requests go to the standby at
-		// once instead of each waiting for a handshake with a dead host.
+	if x.previousErr != nil {
+		// The previous attempt failed too, so no caller waits for this one. Requests go to the standby at once
+		// instead of each waiting for a handshake with a failed host.
 		select {
 		case <-x.done:
 			return x.link, x.err
 		default:
-			return nil, x.after
+			return nil, x.previousErr
 		}
 	}
 	select {
@@ -111,50 +111,50 @@
 	}
 }
 
-// over reports whether the attempt has ended and no longer stands for an answer.
-func (x *try) over(now time.Time) bool {
+// expired reports whether the attempt has ended and its result is no longer used.
+func (x *attempt) expired(now time.Time) bool {
 	select {
 	case <-x.done:
-		return x.err == nil || now.After(x.until)
+		return x.err == nil || now.After(x.retryAt)
 	default:
 		return false
 	}
 }
 
-func (t *Transport) connect(c context.Context, to ident.Daemon, x *try) {
+func (t *Transport) connect(c context.Context, to ident.Daemon, x *attempt) {
 	l, err := t.dial(c, to)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.link, x.err = l, err
-	x.until = time.Now().Add(redialPause)
+	x.retryAt = time.Now().Add(redialDelay)
 	switch have := t.links[to]; {
 	case err != nil:
 	case have != nil && have.conn.Context().Err() == nil && to < t.self:
-		// The peer's own connection came in meanwhile and is the one that both keep.
+		// The peer's own connection arrived meanwhile and is the one that both sides keep.
 		x.link = have
-		time.AfterFunc(replacedFor, func() { l.close("the peer's connection is used") })
-		delete(t.tries, to)
+		time.AfterFunc(replacedCloseDelay, func() { l.close("the peer's connection is used") })
+		delete(t.attempts, to)
 	default:
 		t.links[to] = l
-		delete(t.tries, to)
+		delete(t.attempts, to)
 	}
 	close(x.done)
 }
 
-// replacedFor is how long a connection that another one replaces goes on, for the calls under way on it.
-const replacedFor = 3 * time.Second
+// replacedCloseDelay is how long a replaced connection stays open for the calls in flight on it.
+const replacedCloseDelay = 3 * time.Second
 
-// adopt uses a connection that the peer dialled for calls to it too, so that a pair of daemons needs one connection
-// and not two, each with keep-alives of its own. When both have dialled, both keep the one that the first by name
-// dialled.
-func (t *Transport) adopt(c context.Context, q *quic.Conn, from ident.Daemon) {
+// useIncoming also uses a connection that the peer dialled for calls to it, so that a pair of daemons needs one
+// connection with one set of keep-alives. If both have dialled, both keep the connection of the daemon whose name
+// sorts first.
+func (t *Transport) useIncoming(c context.Context, q *quic.Conn, from ident.Daemon) {
 	t.mu.Lock()
 	have := t.links[from]
 	t.mu.Unlock()
 	if have != nil && have.conn.Context().Err() == nil && from > t.self {
 		return
 	}
-	x, cancel := context.WithTimeout(c, handshakeLimit)
+	x, cancel := context.WithTimeout(c, handshakeTimeout)
 	defer cancel()
 	l, err := t.newLink(x, q)
 	if err != nil {
@@ -163,54 +163,54 @@
 	t.mu.Lock()
 	old := t.links[from]
 	t.links[from] = l
-	delete(t.tries, from)
+	delete(t.attempts, from)
 	t.mu.Unlock()
 	if old != nil {
-		time.AfterFunc(replacedFor, func() { old.close("replaced by the peer's connection") })
+		time.AfterFunc(replacedCloseDelay, func() { old.close("replaced by the peer's connection") })
 	}
 }
 
 func (t *Transport) dial(c context.Context, to ident.Daemon) (*link, error) {
-	a, ok := t.book.Addr(to)
+	a, ok := t.resolver.Addr(to)
 	if !ok {
-		return nil, trace.NotFound("no address known for daemon %s", to)
+		return nil, trace.NotFound("dial daemon %s: no address known", to)
 	}
-	x, cancel := context.WithTimeout(c, handshakeLimit)
+	x, cancel := context.WithTimeout(c, handshakeTimeout)
 	defer cancel()
 	q, err := t.quic.Dial(x, net.UDPAddrFromAddrPort(a), t.tls.Client(to), quicConfig())
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "daemon %s at %v", to, a)
+		return nil, trace.ConnectionProblem(err, "dial daemon %s at %v", to, a)
 	}
-	t.count(q)
+	t.trackConn(q)
 	t.serve(t.group.Context(), q, to)
 	return t.newLink(x, q)
 }
 
-// newLink opens the lanes for calls on a connection.
+// newLink opens the call streams on a connection.
 func (t *Transport) newLink(x context.Context, q *quic.Conn) (*link, error) {
-	l := &link{conn: q, control: newLane(q.Context())}
-	if err := t.startLane(x, q, l.control); err != nil {
+	l := &link{conn: q, control: newCallStream(q.Context())}
+	if err := t.startCallStream(x, q, l.control); err != nil {
 		return nil, err
 	}
 	for i := range l.data {
-		l.data[i] = newLane(q.Context())
-		if err := t.startLane(x, q, l.data[i]); err != nil {
+		l.data[i] = newCallStream(q.Context())
+		if err := t.startCallStream(x, q, l.data[i]); err != nil {
 			return nil, err
 		}
 	}
 	return l, nil
 }
 
-func (t *Transport) startLane(c context.Context, q *quic.Conn, l *lane) error {
+func (t *Transport) startCallStream(c context.Context, q *quic.Conn, l *callStream) error {
 	s, err := q.OpenStreamSync(c)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if _, err := s.Write([]byte{byte(laneStream)}); err != nil {
+	if _, err := s.Write([]byte{byte(callStreamKind)}); err != nil {
 		return trace.Wrap(err)
 	}
 	t.group.Go(func(context.Context) error {
-		err := writeLane(q.Context(), s, l.out)
+		err := writeFrames(q.Context(), s, l.out)
 		_ = q.CloseWithError(0, "writer ended: "+err.Error())
 		return nil
 	})
--- a/io/peer/peer_test.go
+++ b/io/peer/peer_test.go
@@ -22,25 +22,26 @@
 	"heatherrouter/io/wire"
 )
 
-type book struct {
+type addrBook struct {
 	mu    sync.Mutex
 	addrs map[ident.Daemon]netip.AddrPort
 }
 
-func (b *book) Addr(d ident.Daemon) (netip.AddrPort, bool) {
+func (b *addrBook) Addr(d ident.Daemon) (netip.AddrPort, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a, ok := b.addrs[d]
 	return a, ok
 }
 
-func (b *book) set(d ident.Daemon, a netip.AddrPort) {
+func (b *addrBook) set(d ident.Daemon, a netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addrs[d] = a
 }
 
-// echo answers exchanges with their own body; the kind "hang" is never answered, "cut" is cut in its body.
+// echo responds to exchanges with their own body. It never responds to kind "hang" and truncates the body for kind
+// "truncate".
 type echo struct{}
 
 func (echo) Call(c context.Context, _ ident.Daemon, m *wire.Call) *wire.Reply {
@@ -55,27 +56,27 @@
 func (echo) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) {
 	b, err := io.ReadAll(x)
 	if err != nil {
-		x.Cut()
+		x.Abort()
 		return
 	}
-	_ = x.Answer(&wire.ExchangeAnswer{Outcome: wire.Outcome_OUTCOME_ANSWERED, Status: 200, BodyFollows: true})
-	if x.Head.GetKind() == "cut" {
+	_ = x.WriteResponse(&wire.ExchangeAnswer{Outcome: wire.Outcome_OUTCOME_ANSWERED, Status: 200, BodyFollows: true})
+	if x.Head.GetKind() == "truncate" {
 		_, _ = x.Write(b[:len(b)/2])
-		x.Cut()
+		x.Abort()
 		return
 	}
 	_, _ = x.Write(b)
 	_ = x.Close()
 }
 
-func newTransport(t testing.TB, a *keytest.Authority, b *book, d ident.Daemon, w io.Writer) *peer.Transport {
+func newTransport(t testing.TB, a *keytest.Authority, b *addrBook, d ident.Daemon, w io.Writer) *peer.Transport {
 	f, err := a.Daemon(d)
 	require.NoError(t, err)
 	l := &log.Logger{Writer: &log.IOWriter{Writer: w}}
 	k, err := keys.New(f, l)
 	require.NoError(t, err)
 	p, err := peer.New(context.Background(), peer.Options{
-		Self: d, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Book: b, TLS: k, Handler: echo{}, Log: l,
+		Self: d, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Resolver: b, TLS: k, Handler: echo{}, Log: l,
 	})
 	require.NoError(t, err)
 	t.Cleanup(p.Stop)
@@ -86,7 +87,7 @@
 func pair(t testing.TB) (*peer.Transport, *peer.Transport) {
 	a, err := keytest.New(t.TempDir(), "authority")
 	require.NoError(t, err)
-	b := &book{addrs: map[ident.Daemon]netip.AddrPort{}}
+	b := &addrBook{addrs: map[ident.Daemon]netip.AddrPort{}}
 	return newTransport(t, a, b, "h01", io.Discard), newTransport(t, a, b, "h02", io.Discard)
 }
 
@@ -102,15 +103,15 @@
 			body := bytes.Repeat([]byte{byte(i)}, 100+i)
 			r, err := p.Call(t.Context(), "h02", exchange("echo", body))
 			if err != nil || !bytes.Equal(body, r.GetExchange().GetBody()) {
-				t.Errorf("call %d: %v, or another call's answer", i, err)
+				t.Errorf("call %d: %v, or the reply of another call", i, err)
 			}
 		})
 	}
 	w.Wait()
 }
 
-// The caller gets its error at once and knows that nothing was sent, since no address is known or nobody
-// listens there: so even a request that must not run twice may go elsewhere.
+// A call that fails because no address is known or no daemon listens there returns at once and is certainly not sent,
+// so even a request that must not run twice may go elsewhere.
 func TestCallNotSent(t *testing.T) {
 	p, q := pair(t)
 	_, err := p.Call(t.Context(), "h09", exchange("echo", nil))
@@ -121,8 +122,8 @@
 	require.False(t, peer.MaybeSent(err), "%v", err)
 }
 
-// The peer takes the call and never answers; the caller's deadline passes. The caller must not believe
-// that the call did not run.
+// Guards against reporting a call as not run that may have run: the peer receives it and does not reply before the
+// caller's deadline.
 func TestCallUnknown(t *testing.T) {
 	p, _ := pair(t)
 	c, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
@@ -135,43 +136,43 @@
 func TestExchange(t *testing.T) {
 	p, _ := pair(t)
 	body := bytes.Repeat([]byte("0123456789"), 1<<20)
-	x, err := p.Open(t.Context(), "h02", &wire.Exchange{Kind: "echo", BodyFollows: true})
+	x, err := p.OpenExchange(t.Context(), "h02", &wire.Exchange{Kind: "echo", BodyFollows: true})
 	require.NoError(t, err)
 	go func() {
 		_, _ = x.Write(body)
 		_ = x.Close()
 	}()
-	_, err = x.ReadAnswer()
+	_, err = x.ReadResponse()
 	require.NoError(t, err)
 	got, err := io.ReadAll(x)
 	require.NoError(t, err)
 	require.True(t, bytes.Equal(body, got))
 }
 
-// The home loses the backend server in the middle of a download. The entry must see an error and not the
-// end of the body, or the caller would take half a volume for a whole one.
-func TestExchangeCut(t *testing.T) {
+// Guards against a truncated download that looks whole. The home loses the backend server in the middle of the body;
+// the entry daemon must get an error instead of the end of the body.
+func TestExchangeTruncated(t *testing.T) {
 	p, _ := pair(t)
-	x, err := p.Open(t.Context(), "h02", &wire.Exchange{Kind: "cut", BodyFollows: true})
+	x, err := p.OpenExchange(t.Context(), "h02", &wire.Exchange{Kind: "truncate", BodyFollows: true})
 	require.NoError(t, err)
 	_, err = x.Write(make([]byte, 1000))
 	require.NoError(t, err)
 	require.NoError(t, x.Close())
-	_, err = x.ReadAnswer()
+	_, err = x.ReadResponse()
 	if err == nil {
 		_, err = io.ReadAll(x)
 	}
 	require.Error(t, err)
 }
 
-// A daemon with a key of another authority calls. It is refused in the handshake, in both directions, and the
-// daemon that refuses logs whose certificate it was.
-func TestWrongKey(t *testing.T) {
+// Guards against accepting a daemon with a certificate of another authority. The handshake must fail in both
+// directions, and the refusing daemon logs whose certificate it was.
+func TestUntrustedAuthority(t *testing.T) {
 	good, err := keytest.New(t.TempDir(), "authority")
 	require.NoError(t, err)
 	bad, err := keytest.New(t.TempDir(), "stranger")
 	require.NoError(t, err)
-	b := &book{addrs: map[ident.Daemon]netip.AddrPort{}}
+	b := &addrBook{addrs: map[ident.Daemon]netip.AddrPort{}}
 	var l syncBuffer
 	p := newTransport(t, good, b, "h01", &l)
 	q := newTransport(t, bad, b, "h02", io.Discard)
@@ -206,7 +207,7 @@
 	body := make([]byte, 512)
 	for _, n := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("callers=%d", n), func(b *testing.B) {
-			before := processorTime(b)
+			before := cpuTime(b)
 			var w sync.WaitGroup
 			for range n {
 				w.Go(func() {
@@ -219,44 +220,44 @@
 				})
 			}
 			w.Wait()
-			b.ReportMetric(float64((processorTime(b)-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64((cpuTime(b)-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
 		})
 	}
 }
 
-// processorTime returns what this process has used, both ends of the calls included.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used; it includes both ends of the calls.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkSlopeConns measures what connections to other daemons hold in memory; all ends are in this process.
+// BenchmarkSlopeConns measures the memory of connections to other daemons; all ends are in this process.
 func BenchmarkSlopeConns(b *testing.B) {
 	for _, n := range []int{10, 50, 150} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
 			a, err := keytest.New(b.TempDir(), "authority")
 			require.NoError(b, err)
-			k := &book{addrs: map[ident.Daemon]netip.AddrPort{}}
+			k := &addrBook{addrs: map[ident.Daemon]netip.AddrPort{}}
 			p := newTransport(b, a, k, "h0", io.Discard)
 			for i := range n {
 				newTransport(b, a, k, ident.Daemon(fmt.Sprintf("p%d", i)), io.Discard)
 			}
-			before := inUse()
+			before := memoryInUse()
 			for range b.N {
 				for i := range n {
 					_, err := p.Call(context.Background(), ident.Daemon(fmt.Sprintf("p%d", i)), exchange("echo", nil))
 					require.NoError(b, err)
 				}
 			}
-			b.ReportMetric(float64(inUse()-before)/float64(n), "B/connection-both-ends")
+			b.ReportMetric(float64(memoryInUse()-before)/float64(n), "B/connection-both-ends")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// inUse returns the bytes of heap and stacks in use.
-func inUse() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -1,7 +1,7 @@
 // Package peer carries messages between daemons: protobuf frames on QUIC with mutual TLS.
 //
-// Calls share a few long-lived streams per pair of daemons, so that many requests travel in one packet;
-// an exchange with large bodies has a stream of its own.
+// Calls share a few long-lived streams for each pair of daemons, so that many requests fit in one packet; an exchange
+// with large bodies has a stream of its own.
 package peer
 
 import (
@@ -22,74 +22,74 @@
 )
 
 const (
-	// idleLimit is how long a connection may deliver nothing before it is given up. A connection that
-	// something in between has lost track of goes silent for good while new ones work; the keep-alives
-	// of keepAlive go unanswered then, and the calls on it fail within this time.
-	idleLimit = 1200 * time.Millisecond
-	keepAlive = 400 * time.Millisecond
-
-	handshakeLimit = 800 * time.Millisecond
-	redialPause    = 100 * time.Millisecond // between two attempts to reach a peer that doesn't answer
-	maxStreams     = 1 << 16
+	// idleTimeout is the time without received packets after which a connection is given up. If a middlebox loses its
+	// state, the connection stops delivering for good while new ones work. The keep-alives then go unanswered, and
+	// the calls on it fail within this time.
+	idleTimeout     = 1200 * time.Millisecond
+	keepAlivePeriod = 400 * time.Millisecond
+
+	handshakeTimeout = 800 * time.Millisecond
+	redialDelay      = 100 * time.Millisecond // between two attempts to connect to an unresponsive peer
+	maxStreams       = 1 << 16
 )
 
-// Book finds the address of a daemon.
-type Book interface {
+// Resolver returns the peer address of a daemon, and false if none is known.
+type Resolver interface {
 	Addr(d ident.Daemon) (netip.AddrPort, bool)
 }
 
-// TLS gives the configurations of both sides; each connection asks anew, so that keys can be rotated.
+// TLS provides the configurations of both sides. It is called for each connection, so that keys can be rotated.
 type TLS interface {
 	// Server returns the configuration for accepting peers.
 	Server() *tls.Config
 
-	// Client returns the configuration for calling the peer.
+	// Client returns the configuration for dialling the peer.
 	Client(to ident.Daemon) *tls.Config
 }
 
-// Options are what a Transport needs.
+// Options configures a Transport; all fields are required.
 type Options struct {
-	Self    ident.Daemon
-	Listen  netip.AddrPort
-	Book    Book
-	TLS     TLS
-	Handler Handler
-	Log     *log.Logger
+	Self     ident.Daemon
+	Listen   netip.AddrPort
+	Resolver Resolver
+	TLS      TLS
+	Handler  Handler
+	Log      *log.Logger
 }
 
-// Transport is one daemon's end of all connections with its peers.
+// Transport manages the connections of one daemon with its peers.
 type Transport struct {
-	self    ident.Daemon
-	book    Book
-	tls     TLS
-	handler Handler
-	log     *log.Logger
-	socket  *net.UDPConn
-	quic    *quic.Transport
-	listen  *quic.Listener
-	group   *group.Group
-
-	mu    sync.Mutex
-	links map[ident.Daemon]*link
-	tries map[ident.Daemon]*try
-	conns map[*quic.Conn]bool // of both directions
-	past  Traffic             // of closed connections
+	self     ident.Daemon
+	resolver Resolver
+	tls      TLS
+	handler  Handler
+	log      *log.Logger
+	socket   *net.UDPConn
+	quic     *quic.Transport
+	listen   *quic.Listener
+	group    *group.Group
+
+	mu            sync.Mutex
+	links         map[ident.Daemon]*link
+	attempts      map[ident.Daemon]*attempt
+	conns         map[*quic.Conn]bool // dialled and accepted connections
+	closedTraffic Traffic             // sum over closed connections
 }
 
-// New listens for peers; Stop ends all connections.
+// New starts to listen for peers; Stop closes all connections.
 func New(c context.Context, o Options) (*Transport, error) {
 	s, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(o.Listen))
 	if err != nil {
-		return nil, trace.Wrap(err, "peer address %v", o.Listen)
+		return nil, trace.Wrap(err, "listen on peer address %v", o.Listen)
 	}
 	t := &Transport{
-		self: o.Self, book: o.Book, tls: o.TLS, handler: o.Handler, log: o.Log,
-		socket: s,
-		quic:   &quic.Transport{Conn: s},
-		group:  group.New(c),
-		links:  map[ident.Daemon]*link{},
-		tries:  map[ident.Daemon]*try{},
-		conns:  map[*quic.Conn]bool{},
+		self: o.Self, resolver: o.Resolver, tls: o.TLS, handler: o.Handler, log: o.Log,
+		socket:   s,
+		quic:     &quic.Transport{Conn: s},
+		group:    group.New(c),
+		links:    map[ident.Daemon]*link{},
+		attempts: map[ident.Daemon]*attempt{},
+		conns:    map[*quic.Conn]bool{},
 	}
 	t.listen, err = t.quic.Listen(o.TLS.Server(), quicConfig())
 	if err != nil {
@@ -102,9 +102,9 @@
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
-		HandshakeIdleTimeout:           handshakeLimit,
-		MaxIdleTimeout:                 idleLimit,
-		KeepAlivePeriod:                keepAlive,
+		HandshakeIdleTimeout:           handshakeTimeout,
+		MaxIdleTimeout:                 idleTimeout,
+		KeepAlivePeriod:                keepAlivePeriod,
 		MaxIncomingStreams:             maxStreams,
 		MaxIncomingUniStreams:          -1,
 		InitialStreamReceiveWindow:     1 << 20,
@@ -135,24 +135,24 @@
 	for {
 		q, err := t.listen.Accept(c)
 		if err != nil {
-			return nil // the transport stops
+			return nil // the transport is being stopped
 		}
-		from, ok := peerName(q)
+		from, ok := certificateName(q)
 		if !ok {
 			_ = q.CloseWithError(0, "no name in certificate")
 			continue
 		}
-		t.count(q)
+		t.trackConn(q)
 		t.serve(c, q, from)
 		t.group.Go(func(c context.Context) error {
-			t.adopt(c, q, from)
+			t.useIncoming(c, q, from)
 			return nil
 		})
 	}
 }
 
-// peerName returns the daemon that the verified certificate names.
-func peerName(q *quic.Conn) (ident.Daemon, bool) {
+// certificateName returns the daemon that the verified certificate names.
+func certificateName(q *quic.Conn) (ident.Daemon, bool) {
 	l := q.ConnectionState().TLS.PeerCertificates
 	if len(l) == 0 || len(l[0].DNSNames) == 0 {
 		return "", false
@@ -160,19 +160,20 @@
 	return ident.Daemon(l[0].DNSNames[0]), true
 }
 
-// Traffic is what all connections of a transport have carried, with the packets' own heads but not those of UDP and IP.
+// Traffic counts the bytes and packets of all connections of a transport, including QUIC headers but not those of UDP
+// and IP.
 type Traffic struct {
-	Conns     int // open now
-	BytesOut  uint64
-	BytesIn   uint64
-	PacketOut uint64
+	Conns      int // connections open now
+	BytesOut   uint64
+	BytesIn    uint64
+	PacketsOut uint64
 }
 
-// Traffic sums up all connections, closed ones included.
+// Traffic returns the sum over all connections, including closed ones.
 func (t *Transport) Traffic() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sum := t.past
+	sum := t.closedTraffic
 	for q := range t.conns {
 		sum.add(q)
 	}
@@ -184,11 +185,11 @@
 	s := q.ConnectionStats()
 	x.BytesOut += s.BytesSent
 	x.BytesIn += s.BytesReceived
-	x.PacketOut += s.PacketsSent
+	x.PacketsOut += s.PacketsSent
 }
 
-// count follows a connection until it is closed.
-func (t *Transport) count(q *quic.Conn) {
+// trackConn counts a connection as open until it is closed, and then adds its traffic to closedTraffic.
+func (t *Transport) trackConn(q *quic.Conn) {
 	t.mu.Lock()
 	t.conns[q] = true
 	t.mu.Unlock()
@@ -196,7 +197,7 @@
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		delete(t.conns, q)
-		t.past.add(q)
+		t.closedTraffic.add(q)
 	})
 }
 
@@ -206,7 +207,7 @@
 	if err != nil {
 		return nil, &Error{Sent: false, Err: err}
 	}
-	r, err := l.lane(m).call(c, m)
+	r, err := l.streamFor(m).call(c, m)
 	if err != nil {
 		return nil, err
 	}
--- a/io/ports/ports.go
+++ b/io/ports/ports.go
@@ -1,4 +1,4 @@
-// Package ports finds ports for the daemons of tests and demos.
+// Package ports finds free ports for the daemons of tests and demos.
 package ports
 
 import (
@@ -10,22 +10,22 @@
 	"github.com/gravitational/trace"
 )
 
-// The ports lie below those that the system draws for outgoing connections and for listeners without a port of their own. One
-// that is drawn would be free when it is looked at and taken by another listener before the daemon starts.
+// The range is below the ephemeral ports that the system assigns to outgoing connections and to listeners on port 0.
+// An ephemeral port could be free when checked and taken by another listener before the daemon starts.
 const (
-	first = 12000
-	end   = 32000
+	minPort = 12000
+	endPort = 32000
 )
 
-// given counts the ports that this process has looked at.
-var given atomic.Int64
+// nextOffset counts the ports that this process has tried.
+var nextOffset atomic.Int64
 
-// Free returns the first of n ports in a row that are free at 127.0.0.1 for TCP and UDP, and that nobody else in this
-// process was given.
+// Free returns the first of n consecutive ports that are free on 127.0.0.1 for TCP and UDP. It does not return a port
+// to two callers in this process.
 func Free(n int) (uint16, error) {
-	for range end - first {
-		p := first + (int64(os.Getpid())*100+given.Add(int64(n))-int64(n))%(end-first)
-		free := p+int64(n) <= end
+	for range endPort - minPort {
+		p := minPort + (int64(os.Getpid())*100+nextOffset.Add(int64(n))-int64(n))%(endPort-minPort)
+		free := p+int64(n) <= endPort
 		for i := range n {
 			free = free && isFree(addr(uint16(p)+uint16(i))) //nolint:gosec // below 32,000
 		}
@@ -33,10 +33,10 @@
 			return uint16(p), nil //nolint:gosec // below 32,000
 		}
 	}
-	return 0, trace.LimitExceeded("no %d free ports in a row from %d to %d", n, first, end)
+	return 0, trace.LimitExceeded("no %d consecutive free ports from %d to %d", n, minPort, endPort)
 }
 
-// Addr returns an address at 127.0.0.1 with a port of Free.
+// Addr returns an address on 127.0.0.1 with a port from Free.
 func Addr() (netip.AddrPort, error) {
 	p, err := Free(1)
 	return addr(p), err
--- a/io/ports/ports_test.go
+++ b/io/ports/ports_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two daemons that were given the same port would not both start.
-func TestPortsAreGivenOnce(t *testing.T) {
+// Guards against returning a port twice: of two daemons with the same port only one would start.
+func TestFreeReturnsDistinctPorts(t *testing.T) {
 	seen := map[netip.AddrPort]bool{}
 	for i := range 1000 {
 		n := 1 + i%2
--- a/io/ring/ring.go
+++ b/io/ring/ring.go
@@ -1,20 +1,20 @@
-// Package ring is the bounded ring that joins two duties.
+// Package ring provides the bounded queue that connects goroutines.
 package ring
 
 import "context"
 
-// Ring is a bounded queue with many writers and one reader. A full ring pushes back on its writers.
-type Ring[T any] struct {
+// Queue is a bounded queue with many writers and one reader. Writers wait or fail while it is full.
+type Queue[T any] struct {
 	slots chan T
 }
 
-// New returns a ring with room for n values.
-func New[T any](n int) *Ring[T] {
-	return &Ring[T]{slots: make(chan T, n)}
+// New returns a queue with capacity n.
+func New[T any](n int) *Queue[T] {
+	return &Queue[T]{slots: make(chan T, n)}
 }
 
-// TryPut puts v into the ring unless it is full.
-func (r *Ring[T]) TryPut(v T) bool {
+// TryPut appends v and reports whether it did; it fails if the queue is full.
+func (r *Queue[T]) TryPut(v T) bool {
 	select {
 	case r.slots <- v:
 		return true
@@ -23,8 +23,8 @@
 	}
 }
 
-// Put waits for room, or until the context ends.
-func (r *Ring[T]) Put(c context.Context, v T) error {
+// Put appends v. It waits while the queue is full, at most until the context ends.
+func (r *Queue[T]) Put(c context.Context, v T) error {
 	select {
 	case r.slots <- v:
 		return nil
@@ -38,8 +38,8 @@
 	}
 }
 
-// Take waits for a value, or until the context ends.
-func (r *Ring[T]) Take(c context.Context) (T, error) {
+// Take removes the first value. It waits while the queue is empty, at most until the context ends.
+func (r *Queue[T]) Take(c context.Context) (T, error) {
 	select {
 	case v := <-r.slots:
 		return v, nil
@@ -49,8 +49,8 @@
 	}
 }
 
-// TryTake returns a value when there is one.
-func (r *Ring[T]) TryTake() (T, bool) {
+// TryTake removes the first value, and returns false if the queue is empty.
+func (r *Queue[T]) TryTake() (T, bool) {
 	select {
 	case v := <-r.slots:
 		return v, true
@@ -60,12 +60,12 @@
 	}
 }
 
-// Len returns how many values wait.
-func (r *Ring[T]) Len() int {
+// Len returns the number of queued values.
+func (r *Queue[T]) Len() int {
 	return len(r.slots)
 }
 
-// Chan returns the channel to take from, for a reader that waits for other things as well.
-func (r *Ring[T]) Chan() <-chan T {
+// Chan returns the channel of queued values, for a reader that also waits for other events.
+func (r *Queue[T]) Chan() <-chan T {
 	return r.slots
 }
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -149,7 +149,7 @@
 	// No suspicion of a connection that is silent while others are answered: the server may be at work on the request, and
 	// giving it up would cost its caller the answer when no other send is left.
 	x = b.pool.Do(r.ctx, conns.Call{
-		Deadline: s.o.Clock.Std(r.deadline), Settle: settle, Guard: func() bool { return s.maySend(r, b) },
+		Deadline: s.o.Clock.StdTime(r.deadline), ResetWait: settle, Guard: func() bool { return s.maySend(r, b) },
 	}, req, resp)
 	sent = x.Outcome != retry.NotRun || x.End == admit.EndRefused
 	return x, sent
@@ -232,7 +232,7 @@
 	case admit.EndRefused, admit.EndOverloaded:
 		b.refused(now, resp)
 	case admit.EndReset, admit.EndNoDial:
-		if x.Over {
+		if x.ConnLimitReached {
 			b.load.Failed(now, avoidFull)
 			break
 		}
--- a/io/send/back.go
+++ b/io/send/back.go
@@ -64,8 +64,8 @@
 	if b == nil {
 		b = &back{server: x, load: choice.Load{Slots: x.Slots}}
 		b.pool = conns.New(conns.Options{
-			Addr: x.Addr, MaxConns: maxConns, DialTimeout: dialTimeout, ProbeEvery: conns.NoProbes, MaxBody: maxAnswer,
-			Names: s.names, Unframed: true,
+			Addr: x.Addr, MaxConns: maxConns, DialTimeout: dialTimeout, ProbeInterval: conns.NoProbes, MaxBody: maxAnswer,
+			Names: s.names, CloseDelimited: true,
 		})
 		s.backs[k] = b
 	}
--- a/io/send/back_test.go
+++ b/io/send/back_test.go
@@ -56,7 +56,7 @@
 func TestOverItsConnectionsIsNoRestart(t *testing.T) {
 	now := mono.Time(time.Hour)
 	b := &back{load: choice.Load{Slots: 3}}
-	require.Equal(t, avoidFull, see(b, now, conns.Result{Outcome: retry.NotRun, End: admit.EndReset, Over: true}, 0, ""))
+	require.Equal(t, avoidFull, see(b, now, conns.Result{Outcome: retry.NotRun, End: admit.EndReset, ConnLimitReached: true}, 0, ""))
 	require.Zero(t, b.suspect)
 	see(b, now, conns.Result{Outcome: retry.Unknown, End: admit.EndReset}, 0, "")
 	require.Equal(t, now.Add(suspectRestart), b.suspect)
--- a/io/setup/keys.go
+++ b/io/setup/keys.go
@@ -13,8 +13,8 @@
 	"heatherrouter/core/fields"
 )
 
-// minOperatorKey is the least length of an operator's key in bytes; a shorter one could be guessed.
-const minOperatorKey = 16
+// minOperatorKeyLen is the minimum length of an operator's key in bytes; a shorter one could be guessed.
+const minOperatorKeyLen = 16
 
 func parseKeys(t *fields.Table, dir string) Keys {
 	k := Keys{
@@ -42,7 +42,7 @@
 	return k
 }
 
-// resolve returns the path as seen from the settings file's folder.
+// resolve returns the path relative to the folder of the settings file.
 func resolve(dir, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// checkPair reads certificate and key, each by itself for its own finding, then both together.
+// checkPair reads the certificate and the key. Each unreadable file is a finding of its own; only two readable ones
+// are checked as a pair.
 func checkPair(t *fields.Table, k Keys) {
 	cert, certOK := readPEM(t, "certificate-file", k.Certificate)
 	key, keyOK := readPEM(t, "key-file", k.Key)
@@ -90,7 +91,7 @@
 		return
 	}
 	if _, err := tls.X509KeyPair(cert, key); err != nil {
-		t.Addf("key-file", "does not fit certificate-file: %v", err)
+		t.Addf("key-file", "does not match certificate-file: %v", err)
 	}
 }
 
@@ -115,15 +116,15 @@
 	return ReadOperatorKey(k.OperatorKey)
 }
 
-// ReadOperatorKey reads an operator's key from a file, without the space around it.
+// ReadOperatorKey reads an operator's key from a file and removes surrounding white space.
 func ReadOperatorKey(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return "", trace.ConvertSystemError(err)
 	}
 	s := strings.TrimSpace(string(b))
-	if len(s) < minOperatorKey || strings.ContainsAny(s, " \t\r\n") {
-		return "", trace.BadParameter("%s: must hold one word of at least %d bytes", path, minOperatorKey)
+	if len(s) < minOperatorKeyLen || strings.ContainsAny(s, " \t\r\n") {
+		return "", trace.BadParameter("%s: must hold one word of at least %d bytes", path, minOperatorKeyLen)
 	}
 	return s, nil
 }
--- a/io/setup/setup.go
+++ b/io/setup/setup.go
@@ -1,4 +1,4 @@
-// Package setup reads the settings file of a daemon and reports everything wrong with it at once.
+// Package setup reads the settings file of a daemon and reports all its errors together.
 package setup
 
 import (
@@ -15,7 +15,7 @@
 	"heatherrouter/core/ident"
 )
 
-// Settings is what a daemon is told about itself and the platform.
+// Settings are the settings of a daemon: its identity, its addresses and how it reaches the platform.
 type Settings struct {
 	Name     ident.Daemon
 	Domain   ident.Domain
@@ -30,7 +30,7 @@
 	LogLevel log.Level
 }
 
-// Table says where the platform's table service is.
+// Table is the location of the platform's table service and the credentials for it.
 type Table struct {
 	Endpoint  string
 	Region    string
@@ -39,26 +39,26 @@
 	SecretKey string
 }
 
-// Hosts says where the platform's list of hosts is.
+// Hosts is the location of the platform's list of hosts.
 type Hosts struct {
 	URL string
 }
 
-// Peer is a daemon to ask first after a start.
+// Peer is a daemon to contact first after a start.
 type Peer struct {
 	Name ident.Daemon
 	Addr netip.AddrPort
 }
 
-// Keys names the files of keys and certificates; relative paths start at the settings file.
+// Keys holds the paths of key and certificate files; relative paths start at the folder of the settings file.
 type Keys struct {
-	CAs         []string // all are trusted, so that old and new ones overlap while they change
+	CAs         []string // all are trusted, so that the old and the new one overlap during a change
 	Certificate string
 	Key         string
-	OperatorKey string // file that holds the key of mutating admin calls
+	OperatorKey string // file with the key for mutating admin calls
 }
 
-// Load reads a settings file. Its error holds all findings, each with file, line and key.
+// Load reads a settings file. Its error contains all findings, each with file, line and key.
 func Load(path string) (*Settings, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -71,7 +71,8 @@
 	return s, nil
 }
 
-// Parse reads the body of a settings file that lies at the path, and the key files that it names.
+// Parse parses the body of the settings file at path and reads the key files that it names. The settings are nil if
+// there are findings.
 func Parse(path string, body []byte) (*Settings, check.Findings) {
 	t := fields.Parse(path, body)
 	if !t.Valid() {
@@ -85,7 +86,7 @@
 	}
 	s.parseAddrs(t)
 	s.Table = parseTable(t.Table("table"))
-	s.Hosts = Hosts{URL: needURL(t.Table("hosts"), "url")}
+	s.Hosts = Hosts{URL: requiredURL(t.Table("hosts"), "url")}
 	s.Peers = parsePeers(t)
 	s.Keys = parseKeys(t.Table("keys"), filepath.Dir(path))
 	if f := t.Findings(); len(f) > 0 {
@@ -106,7 +107,7 @@
 
 func parseTable(t *fields.Table) Table {
 	return Table{
-		Endpoint:  needURL(t, "endpoint"),
+		Endpoint:  requiredURL(t, "endpoint"),
 		Region:    t.Need("region"),
 		Name:      t.Need("name"),
 		AccessKey: t.Need("access-key"),
--- a/io/setup/setup_test.go
+++ b/io/setup/setup_test.go
@@ -54,7 +54,7 @@
 operator-key-file = "operator.key"
 `
 
-// writeKeys writes a certificate, its key and an operator's key into a new folder.
+// writeKeys writes a certificate, its key, an operator's key and invalid files into a new folder.
 func writeKeys(t testing.TB) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -108,7 +108,7 @@
 	require.NoError(t, os.WriteFile(p, []byte("name = \"-\"\nnam = 1\n"), 0o600))
 	_, err = setup.Load(p)
 	var f check.Findings
-	require.ErrorAs(t, err, &f, "findings stay findings through the wrapping")
+	require.ErrorAs(t, err, &f, "the wrapped error still contains the findings")
 	require.Contains(t, f.Error(), p+":1: name: ")
 	require.Contains(t, f.Error(), p+":2: nam: is no known setting")
 	require.Contains(t, f.Error(), "keys.ca-files: is missing")
@@ -123,23 +123,23 @@
 		body string
 		want string
 	}{
-		{"no TOML", "[", ":1: is no valid TOML"},
+		{"not TOML", "[", ":1: is no valid TOML"},
 		{"unknown key", swap("log-level", "log_level"), ":4: log_level: is no known setting"},
 		{"unknown table", good + "[extra]\n", ":30: extra: is no known setting"},
-		{"level", swap(`"warn"`, `"loud"`), `:4: log-level: is "loud"`},
+		{"unknown level", swap(`"warn"`, `"loud"`), `:4: log-level: is "loud"`},
 		{"same address", swap("8082", "8080"), ":9: addresses.admin: is 127.0.0.1:8080, the address of entry too"},
-		{"host name", swap("127.0.0.1:8080", "localhost:8080"), `:7: addresses.entry: is "localhost:8080"`},
-		{"no URL", swap("http://127.0.0.1:8000", "127.0.0.1"), ":12: table.endpoint: "},
-		{"URL with name", swap("http://127.0.0.1:8000", "http://table:8000"), `:12: table.endpoint: has the host "table"`},
-		{"peer twice", swap("[keys]", "[[peers]]\nname = \"hr-02\"\naddress = \"127.0.0.1:1\"\n[keys]"), ":26: peers[1].name: names the peer hr-02 twice"},
+		{"host name in address", swap("127.0.0.1:8080", "localhost:8080"), `:7: addresses.entry: is "localhost:8080"`},
+		{"not a URL", swap("http://127.0.0.1:8000", "127.0.0.1"), ":12: table.endpoint: "},
+		{"URL with host name", swap("http://127.0.0.1:8000", "http://table:8000"), `:12: table.endpoint: has the host "table"`},
+		{"duplicate peer", swap("[keys]", "[[peers]]\nname = \"hr-02\"\naddress = \"127.0.0.1:1\"\n[keys]"), ":26: peers[1].name: names the peer hr-02 twice"},
 		{"no CA", swap(`"ca.pem", "ca.pem"`, ""), ":26: keys.ca-files: is missing"},
-		{"CA not there", swap("ca.pem", "none.pem"), ":26: keys.ca-files: can't be read"},
-		{"CA no PEM", swap("ca.pem", "text"), "holds no certificate in PEM"},
-		{"CA is key", swap("ca.pem", "key.pem"), `holds a PEM block "PRIVATE KEY"`},
-		{"certificate no PEM", swap("cert.pem", "text"), ":27: keys.certificate-file: "},
-		{"key not there", swap("key.pem", "none.pem"), ":28: keys.key-file: can't be read"},
-		{"key does not fit", swap(`"key.pem"`, `"cert.pem"`), ":28: keys.key-file: does not fit"},
-		{"operator key short", swap("operator.key", "short.key"), ":29: keys.operator-key-file: "},
+		{"CA file missing", swap("ca.pem", "none.pem"), ":26: keys.ca-files: can't be read"},
+		{"CA not PEM", swap("ca.pem", "text"), "holds no certificate in PEM"},
+		{"CA file contains a key", swap("ca.pem", "key.pem"), `holds a PEM block "PRIVATE KEY"`},
+		{"certificate not PEM", swap("cert.pem", "text"), ":27: keys.certificate-file: "},
+		{"key file missing", swap("key.pem", "none.pem"), ":28: keys.key-file: can't be read"},
+		{"key does not match", swap(`"key.pem"`, `"cert.pem"`), ":28: keys.key-file: does not match certificate-file"},
+		{"operator key too short", swap("operator.key", "short.key"), ":29: keys.operator-key-file: "},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/io/setup/values.go
+++ b/io/setup/values.go
@@ -9,9 +9,9 @@
 	"heatherrouter/core/fields"
 )
 
-// needURL reads the URL of a part of the platform. Its host must be an IP number: a name would make every
-// call depend on a resolver, whose outage would look like that of the platform.
-func needURL(t *fields.Table, key string) string {
+// requiredURL reads the URL of a platform service. Its host must be an IP address: a name would make every call
+// depend on a resolver, whose outage would look like one of the platform.
+func requiredURL(t *fields.Table, key string) string {
 	s := t.Need(key)
 	if s == "" {
 		return ""
@@ -22,7 +22,7 @@
 		return ""
 	}
 	if _, err := netip.ParseAddr(u.Hostname()); err != nil {
-		t.Addf(key, "has the host %q, must have an IP number", u.Hostname())
+		t.Addf(key, "has the host %q, must have an IP address", u.Hostname())
 	}
 	return s
 }
