--- a/io/conns/conn.go
+++ b/io/conns/conn.go
@@ -341,7 +341,7 @@
 			return nil
 		}
 		if i == maxInterim {
-			return trace.LimitExceeded("more than %d interim responses", maxInterim)
+			return trace.LimitExceeded("too many interim responses")
 		}
 	}
 }
--- a/io/conns/stream.go
+++ b/io/conns/stream.go
@@ -14,14 +14,14 @@
 
 // Stream is the body of a response as it arrives. The caller must close it in any case.
 type Stream struct {
-	pool       *Pool
-	conn       *conn
-	ctx        context.Context
-	stopCancel func() bool
-	body       io.Reader // nil if there is no body
-	resp       *fasthttp.Response
-	result     Result
-	finished   bool // the body has ended, whole or truncated
+	pool     *Pool
+	conn     *conn
+	ctx      context.Context
+	stop     func() bool // conn.stopCancel
+	body     io.Reader   // nil if there is no body
+	resp     *fasthttp.Response
+	result   Result
+	finished bool // the body has ended, whole or truncated
 }
 
 // DoStream sends the request, whose body may be a stream, and reads the header of the response into resp.
@@ -34,7 +34,7 @@
 	if c == nil {
 		return nil, r
 	}
-	s := &Stream{pool: p, conn: c, ctx: ctx, stopCancel: c.stopCancel, body: resp.BodyStream(), resp: resp, result: r}
+	s := &Stream{pool: p, conn: c, ctx: ctx, stop: c.stopCancel, body: resp.BodyStream(), resp: resp, result: r}
 	if r.Outcome == retry.Answered {
 		return s, r
 	}
@@ -84,7 +84,7 @@
 		return
 	}
 	s.finished = true
-	if !s.stopCancel() {
+	if !s.stop() {
 		s.conn.broken = true
 	}
 	if err != nil {
--- a/io/hosts/hosts.go
+++ b/io/hosts/hosts.go
@@ -64,15 +64,15 @@
 	if err != nil {
 		// If one pooled connection has failed, others may have too; the next call dials a new one.
 		c.http.CloseIdleConnections()
-		return nil, trace.ConnectionProblem(err, "fetch host list from %s", c.url)
+		return nil, trace.ConnectionProblem(err, "fetch host list")
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return nil, trace.ConnectionProblem(nil, "fetch host list from %s: status %s", c.url, a.Status)
+		return nil, trace.ConnectionProblem(nil, "fetch host list: status %s", a.Status)
 	}
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxPageSize))
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "read host list from %s", c.url)
+		return nil, trace.ConnectionProblem(err, "read host list")
 	}
 	return c.parse(b)
 }
--- a/io/peer/frame.go
+++ b/io/peer/frame.go
@@ -26,7 +26,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if len(b)-frameHeaderSize > maxFrameSize {
-		return nil, trace.LimitExceeded("encode frame: message of %d bytes exceeds the limit of %d", len(b)-frameHeaderSize, maxFrameSize)
+		return nil, trace.LimitExceeded("encode frame: message of %d bytes exceeds the frame limit", len(b))
 	}
 	binary.BigEndian.PutUint32(b, uint32(len(b)-frameHeaderSize))
 	*p = b
@@ -47,7 +47,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
 	if n > maxFrameSize {
-		return trace.LimitExceeded("read frame: message of %d bytes exceeds the limit of %d", n, maxFrameSize)
+		return trace.LimitExceeded("read frame: message of %d bytes exceeds the frame limit", n)
 	}
 	p, _ := framePool.Get().(*[]byte)
 	defer freeFrame(p)
