--- a/io/conns/conns.go
+++ b/io/conns/conns.go
@@ -50,7 +50,7 @@
 	defaultProbeInterval = 500 * time.Millisecond
 	defaultProbeTimeout  = 250 * time.Millisecond
 	defaultStallTimeout  = 5 * time.Second
-	defaultHealthPath    = "/heatherrouter/health" // a server without this page responds with 404, which also shows that it is alive
+	defaultHealthPath    = "/heatherrouter/health" // an error response of a server without this page also shows that it is alive
 	defaultMaxBody       = 16 << 20
 )
 
--- a/io/peer/link.go
+++ b/io/peer/link.go
@@ -42,7 +42,7 @@
 	done        chan struct{}
 	link        *link
 	err         error
-	retryAt     time.Time // time until which calls get the error of a failed attempt
+	retryAt     time.Time // calls get the error of a failed attempt until then
 	previousErr error     // error of the previous attempt, nil if it succeeded or there was none
 }
 
