--- a/io/grant/elect.go
+++ b/io/grant/elect.go
@@ -57,7 +57,7 @@
 			x.Expect = append(x.Expect, store.Expect{Key: feed.DaemonRow(d), Rev: r})
 		}
 	}
-	requested := g.o.Clock.Boot()
+	requested := g.o.Clock.SinceBoot()
 	if rev, err = g.o.Store.Commit(c, x); err != nil {
 		g.o.Log.Info().Err(err).Uint64("term", uint64(prev.Term)+1).Msg("did not become the coordinator")
 		clear(g.withdrawnRows) // a voter may have restarted
@@ -83,7 +83,7 @@
 	}
 	g.measurements.reset()
 	g.plannedAt = 0
-	g.termStarted, g.supportedAt = g.o.Clock.Boot(), g.o.Clock.Now()
+	g.termStarted, g.supportedAt = g.o.Clock.SinceBoot(), g.o.Clock.Now()
 }
 
 // endTerm closes the connections of the current term, if there is one.
--- a/io/grant/link.go
+++ b/io/grant/link.go
@@ -66,7 +66,7 @@
 	if x != nil {
 		x.close()
 	}
-	o := conns.Options{Addr: s.Addr, MaxConns: 1, DialTimeout: orderDialTimeout, ProbeEvery: conns.NoProbes, Names: conns.NoNames}
+	o := conns.Options{Addr: s.Addr, MaxConns: 1, DialTimeout: orderDialTimeout, ProbeInterval: conns.NoProbes, Names: conns.NoNames}
 	x = &link{server: s, grants: conns.New(o), spare: conns.New(o)}
 	o.MaxConns, o.DialTimeout = maxReleases, backgroundDialTimeout
 	x.releases, x.releaseSlots = conns.New(o), make(chan struct{}, maxReleases)
@@ -91,8 +91,8 @@
 	l.spareCheckedAt = now
 	p := l.spare
 	g.group.Go(func(c context.Context) error {
-		p.Warm(c, now.Add(backgroundDialTimeout)) // a failed attempt is repeated with a later order
-		l.releases.Warm(c, now.Add(backgroundDialTimeout))
+		p.Preconnect(c, now.Add(backgroundDialTimeout)) // a failed attempt is repeated with a later order
+		l.releases.Preconnect(c, now.Add(backgroundDialTimeout))
 		return nil
 	})
 }
@@ -155,7 +155,7 @@
 	switch x := d.order.(type) {
 	case hold.Grant:
 		g.o.OrderCodec.Grant(req, x)
-		call.Deadline, call.Reuse = g.o.Clock.Std(x.Ends), x.Renewal
+		call.Deadline, call.ReuseOnly = g.o.Clock.StdTime(x.Ends), x.Renewal
 		r, d.connLost = g.sendGrant(c, l, call, req, resp)
 	case hold.Release:
 		g.o.OrderCodec.Release(req, x)
@@ -169,7 +169,7 @@
 
 func (g *Granter) releaseDeadline(until mono.Time) time.Time {
 	now := g.o.Clock.Now()
-	return g.o.Clock.Std(max(now.Add(g.o.Timing.Timeout), min(until, now.Add(releaseTimeout))))
+	return g.o.Clock.StdTime(max(now.Add(g.o.Timing.Timeout), min(until, now.Add(releaseTimeout))))
 }
 
 func (g *Granter) result(o hold.Order, r conns.Result, resp *fasthttp.Response) hold.Result {
--- a/io/lines/lines.go
+++ b/io/lines/lines.go
@@ -29,7 +29,7 @@
 // Writer writes the log of a process. It is safe for concurrent use until Close is called.
 type Writer struct {
 	out     io.Writer
-	ring    *ring.Ring[[]byte]
+	ring    *ring.Queue[[]byte]
 	dropped atomic.Int64
 
 	mu          sync.Mutex
--- a/io/node/identity.go
+++ b/io/node/identity.go
@@ -91,12 +91,12 @@
 	return nil
 }
 
-// addressBook looks up the addresses of peers in the snapshot. It implements peer.Book.
+// addressBook looks up the addresses of peers in the snapshot. It implements peer.Resolver.
 type addressBook struct {
 	snapshot func() *site.Snapshot
 }
 
-// Addr implements peer.Book.
+// Addr implements peer.Resolver.
 func (b addressBook) Addr(d ident.Daemon) (netip.AddrPort, bool) {
 	x := b.snapshot().Daemons[d]
 	if x == nil {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -132,7 +132,7 @@
 		return err
 	}
 	n.peers, err = peer.New(n.group.Context(), peer.Options{
-		Self: s.Name, Listen: s.Peer, Book: addressBook{n.feed.Snapshot}, TLS: n.id, Handler: peerHandler{n.feed, n.limiter}, Log: n.o.Log,
+		Self: s.Name, Listen: s.Peer, Resolver: addressBook{n.feed.Snapshot}, TLS: n.id, Handler: peerHandler{n.feed, n.limiter}, Log: n.o.Log,
 	})
 	if err != nil {
 		l.close()
@@ -441,7 +441,7 @@
 }
 
 // Exchange implements peer.Handler.
-func (peerHandler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Cut() }
+func (peerHandler) Exchange(_ context.Context, _ ident.Daemon, x *peer.Exchange) { x.Abort() }
 
 // IsCoordinator reports whether the daemon is the coordinator of its site, as far as it knows.
 func (n *Node) IsCoordinator() bool { return n.feed.IsCoordinator() }
--- a/io/send/attempt.go
+++ b/io/send/attempt.go
@@ -153,7 +153,7 @@
 	// A connection without data is not suspected while others receive responses: the server may still be running the
 	// request, and aborting it would lose the caller's response when no further attempt is left.
 	x = b.pool.Do(r.ctx, conns.Call{
-		Deadline: s.o.Clock.Std(r.deadline), Settle: settleTime, Guard: func() bool { return s.maySend(r, b) },
+		Deadline: s.o.Clock.StdTime(r.deadline), ResetWait: settleTime, Guard: func() bool { return s.maySend(r, b) },
 	}, req, resp)
 	sent = x.Outcome != retry.NotRun || x.End == admit.EndRefused
 	return x, sent
@@ -237,7 +237,7 @@
 	case admit.EndRefused, admit.EndOverloaded:
 		b.observeRefusal(now, resp)
 	case admit.EndReset, admit.EndDialFailed:
-		if x.Over {
+		if x.ConnLimitReached {
 			b.load.RecordFailure(now, avoidWhenFull)
 			break
 		}
--- a/io/send/back.go
+++ b/io/send/back.go
@@ -64,8 +64,8 @@
 	if b == nil {
 		b = &backend{server: x, load: choice.Load{Slots: x.Slots}}
 		b.pool = conns.New(conns.Options{
-			Addr: x.Addr, MaxConns: maxConns, DialTimeout: dialTimeout, ProbeEvery: conns.NoProbes, MaxBody: maxResponseBytes,
-			Names: s.names, Unframed: true,
+			Addr: x.Addr, MaxConns: maxConns, DialTimeout: dialTimeout, ProbeInterval: conns.NoProbes, MaxBody: maxResponseBytes,
+			Names: s.names, CloseDelimited: true,
 		})
 		s.backends[k] = b
 	}
--- a/io/send/back_test.go
+++ b/io/send/back_test.go
@@ -56,7 +56,7 @@
 func TestResetOverConnectionLimitIsNoRestart(t *testing.T) {
 	now := mono.Time(time.Hour)
 	b := &backend{load: choice.Load{Slots: 3}}
-	require.Equal(t, avoidWhenFull, observeExchange(b, now, conns.Result{Outcome: retry.NotRun, End: admit.EndReset, Over: true}, 0, ""))
+	require.Equal(t, avoidWhenFull, observeExchange(b, now, conns.Result{Outcome: retry.NotRun, End: admit.EndReset, ConnLimitReached: true}, 0, ""))
 	require.Zero(t, b.restartSuspectedUntil)
 	observeExchange(b, now, conns.Result{Outcome: retry.Unknown, End: admit.EndReset}, 0, "")
 	require.Equal(t, now.Add(restartSuspicionTime), b.restartSuspectedUntil)
