--- a/core/part/change.go
+++ b/core/part/change.go
@@ -9,23 +9,23 @@
 	"heatherrouter/core/ident"
 )
 
-// MaxRows is how many rows one transaction of the table may change.
+// MaxRows is the maximum number of rows that one transaction of the table may change.
 const MaxRows = 99
 
-// Change is one row of a transaction on a part.
+// Change is the change of one row in a transaction on a Part.
 type Change interface {
 	change()
-	// Row returns the row of the document that the change rewrites.
+	// Row returns the row of the document that the change replaces or removes.
 	Row() ident.Row
 }
 
 type (
-	// SetWitnesses rewrites the witnesses.
+	// SetWitnesses replaces the witnesses.
 	SetWitnesses struct {
 		Witnesses Witnesses
 	}
 
-	// SetServer adds or rewrites the row of a backend server.
+	// SetServer adds or replaces the row of a backend server.
 	SetServer struct {
 		Server Server
 	}
@@ -35,7 +35,7 @@
 		ID ident.Server
 	}
 
-	// SetShards rewrites one row of shards as a whole.
+	// SetShards replaces all shards of one row.
 	SetShards struct {
 		Chunk  int // the row's number; its first shard is Chunk*ChunkSize
 		Owners []Ownership
@@ -79,14 +79,14 @@
 // Row implements Change.
 func (c SetShards) Row() ident.Row { return ShardsRow(c.Chunk) }
 
-// Apply returns the part after one transaction of changes, at the next revision, or all rules that it
-// would break as Findings. p stays as it is.
+// Apply returns the part at the next revision, after one transaction of changes. If the transaction breaks
+// rules, the error is a Findings with all violations. Apply does not modify p.
 func (p *Part) Apply(changes ...Change) (*Part, error) {
 	var f Findings
 	f.checkRows(changes)
 	n := p.clone()
 	n.Rev++
-	for _, c := range inOrder(changes) {
+	for _, c := range sortByChunk(changes) {
 		switch c := c.(type) {
 		case SetWitnesses:
 			f.checkWitnesses(p.Witnesses, c.Witnesses)
@@ -95,7 +95,7 @@
 			f.checkServer(p, c.Server)
 			n.Servers[c.Server.ID] = c.Server
 		case RemoveServer:
-			f.checkKnown(p, c.ID)
+			f.checkServerExists(p, c.ID)
 			delete(n.Servers, c.ID)
 		case SetShards:
 			f.checkShards(n, c)
@@ -109,8 +109,8 @@
 	return n, nil
 }
 
-// inOrder puts new rows of shards behind those that they follow, whatever order they are given in.
-func inOrder(changes []Change) []Change {
+// sortByChunk returns the changes with rows of shards in ascending order, so that new rows follow existing ones.
+func sortByChunk(changes []Change) []Change {
 	chunk := func(c Change) int {
 		if s, ok := c.(SetShards); ok {
 			return s.Chunk
--- a/core/part/part.go
+++ b/core/part/part.go
@@ -1,7 +1,7 @@
-// Package part is the aggregate of one service's assignments: witnesses, the home of each backend server, the owner of each shard.
+// Package part defines the assignments of one service: its witnesses, the home of each backend server and the owner of each shard.
 //
-// A Part never changes once built: Apply returns another one, which shares what stayed the same. Readers
-// on the request path therefore need no lock, they load a pointer.
+// A Part is immutable: Apply returns a new one. Readers on the request path therefore load a pointer and
+// need no lock.
 package part
 
 import (
@@ -11,18 +11,18 @@
 	"heatherrouter/core/ident"
 )
 
-// ChunkSize is how many neighbouring shards one row holds.
+// ChunkSize is the number of consecutive shards in a full row.
 const ChunkSize = 64
 
-// State is how a backend server may be given work.
+// State says whether a backend server may receive new requests.
 type State uint8
 
 const (
-	// Active servers are given work.
+	// Active servers receive requests.
 	Active State = iota
-	// Draining servers finish what they have and are given nothing new.
+	// Draining servers finish their requests and receive no new ones.
 	Draining
-	// Down servers are given nothing until their home has seen them work again.
+	// Down servers receive no requests until their home has seen them work again.
 	Down
 )
 
@@ -39,15 +39,15 @@
 	return "unknown"
 }
 
-// Witnesses are the daemons that give the leases of the service's servers, in order of rank:
-// the first one that is alive acts as coordinator.
+// Witnesses are the daemons that grant the leases of the service's servers, in order of rank.
+// The first one that is alive is the coordinator.
 type Witnesses struct {
 	Current []ident.Daemon
-	Next    []ident.Daemon // with a change under way: a lease needs a majority of both
-	Retired []ident.Daemon // replaced by the last change; they go on answering with a pointer to Current
+	Next    []ident.Daemon // set during a change, when a lease needs a majority of both sets
+	Retired []ident.Daemon // replaced by the last change; they still respond and refer callers to Current
 }
 
-// Changing reports whether a change of witnesses is under way.
+// Changing reports whether a change of witnesses is in progress.
 func (w Witnesses) Changing() bool {
 	return len(w.Next) > 0
 }
@@ -57,35 +57,35 @@
 	return Witnesses{Current: slices.Clone(w.Current), Next: slices.Clone(w.Next), Retired: slices.Clone(w.Retired)}
 }
 
-// Equal reports whether both name the same daemons in the same order.
+// Equal reports whether w and x name the same daemons in the same order.
 func (w Witnesses) Equal(x Witnesses) bool {
 	return slices.Equal(w.Current, x.Current) && slices.Equal(w.Next, x.Next) && slices.Equal(w.Retired, x.Retired)
 }
 
-// Server says which daemon may send work to a backend server.
+// Server is the row of a backend server and says which daemon may send requests to it.
 type Server struct {
 	ID        ident.Server
 	Home      ident.Daemon
 	Epoch     ident.Epoch  // belongs to Home alone
-	Standby   ident.Daemon // may take over with Epoch+1 once the home's lease has lapsed; empty when none
+	Standby   ident.Daemon // may take over with Epoch+1 after the home's lease has expired; empty when none
 	State     State
-	Supersede bool // the home shall stop renewals of older epochs at the witnesses
+	Supersede bool // the home must stop renewals of older epochs at the witnesses
 }
 
 // Ownership says which backend server owns a shard.
 type Ownership struct {
 	Server   ident.Server // empty for a shard that has no owner yet
 	Epoch    ident.Epoch
-	Previous ident.Server // last owner, which must release the shard first; empty once it has
+	Previous ident.Server // previous owner, which must release the shard first; empty after the release
 }
 
-// Part is the assignment of one service at one revision. It must not be changed; Apply makes another one.
+// Part is the assignment of one service at one revision. It must not be modified; Apply returns a new one.
 type Part struct {
 	Service   ident.Service
 	Rev       ident.Rev
 	Witnesses Witnesses
 	Servers   map[ident.Server]Server
-	Shards    []Ownership // by number; empty for an unkeyed service
+	Shards    []Ownership // indexed by shard number; empty for an unkeyed service
 }
 
 // New returns the empty part of a service.
@@ -93,7 +93,7 @@
 	return &Part{Service: s, Servers: map[ident.Server]Server{}}
 }
 
-// Owner returns the ownership of a shard, or the zero value for a shard that nobody owns.
+// Owner returns the ownership of a shard, or the zero value if the shard has no owner.
 func (p *Part) Owner(s ident.Shard) Ownership {
 	if int(s) >= len(p.Shards) {
 		return Ownership{}
@@ -101,7 +101,7 @@
 	return p.Shards[s]
 }
 
-// Server returns the row of a backend server.
+// Server returns the row of a backend server, and false if there is none.
 func (p *Part) Server(s ident.Server) (Server, bool) {
 	x, ok := p.Servers[s]
 	return x, ok
@@ -112,19 +112,19 @@
 	return slices.Sorted(maps.Keys(p.Servers))
 }
 
-// EpochStep is how far one transaction may raise the epoch of a server: past the one of its standby.
+// EpochStep is the most by which one transaction may raise the epoch of a server: past the standby's epoch.
 const EpochStep = 2
 
 // FirstEpoch returns the lowest epoch for a server that has no row.
 //
-// A server may be removed and come back. Were it to start at 1 again, witnesses that remember its former
-// epochs would refuse it, and those that restarted would give a number that a former home may still hold.
-// As no transaction raises an epoch by more than EpochStep, no former row has had one as high as this.
+// A server may be removed and added again. If it started at 1 again, witnesses that remember its earlier
+// epochs would refuse it, and restarted ones would grant an epoch that a former home may still hold.
+// No transaction raises an epoch by more than EpochStep, so no earlier row has had an epoch this high.
 func (p *Part) FirstEpoch() ident.Epoch {
 	return ident.Epoch(p.Rev)*EpochStep + 1
 }
 
-// Chunks returns how many rows the shards take.
+// Chunks returns the number of rows of shards.
 func (p *Part) Chunks() int {
 	return (len(p.Shards) + ChunkSize - 1) / ChunkSize
 }
@@ -134,14 +134,14 @@
 	return p.Shards[n*ChunkSize : min((n+1)*ChunkSize, len(p.Shards))]
 }
 
-// Pending is a shard whose last owner has not yet been seen to release it.
+// Pending is a shard whose release by its previous owner is not yet recorded.
 type Pending struct {
 	Shard ident.Shard
 	Epoch ident.Epoch // of the new ownership
 }
 
-// Unreleased returns the shards that wait for their last owner, by last owner. Until the word of that
-// owner's home is written down, such a shard can't go on to a third server.
+// Unreleased returns the shards that await release, by previous owner. Until the release reported by that
+// owner's home is recorded, such a shard can't move to a third server.
 func (p *Part) Unreleased() map[ident.Server][]Pending {
 	m := map[ident.Server][]Pending{}
 	for i, o := range p.Shards {
--- a/core/part/rules.go
+++ b/core/part/rules.go
@@ -8,42 +8,42 @@
 	"heatherrouter/core/ident"
 )
 
-// Rule names a rule of the aggregate.
+// Rule identifies an invariant of a Part that Apply checks.
 type Rule string
 
-// The rules that Apply holds up.
+// The rules that Apply enforces.
 const (
 	RuleRows          Rule = "rows"             // a transaction has 1 to MaxRows rows, each once
 	RuleWitnesses     Rule = "witnesses"        // an odd number of distinct daemons
-	RuleWitnessChange Rule = "witness-change"   // one change at a time: current beside next, then next alone
+	RuleWitnessChange Rule = "witness-change"   // one change at a time: current and next together, then next alone
 	RuleServerName    Rule = "server-name"      // the server belongs to the service and has a home
-	RuleServerEpoch   Rule = "server-epoch"     // each epoch of a server belongs to one daemon for ever
-	RuleStandby       Rule = "standby"          // the standby is another daemon and stays for its epoch
-	RuleUnknownServer Rule = "unknown-server"   // what is removed or owns a shard has a row
-	RuleInUse         Rule = "in-use"           // a removed server owns no shard and has none to release
-	RuleShards        Rule = "shards"           // rows of shards have no gaps and don't shrink
-	RuleShardEpoch    Rule = "shard-epoch"      // a shard changes owner with a higher epoch only
-	RulePrevious      Rule = "previous-owner"   // the last owner is named, so that it can be asked to release
-	RuleUnreleased    Rule = "unreleased-shard" // a shard goes on to a third server only once released
+	RuleServerEpoch   Rule = "server-epoch"     // an epoch of a server never passes from one daemon to another
+	RuleStandby       Rule = "standby"          // the standby isn't the home and doesn't change within an epoch
+	RuleUnknownServer Rule = "unknown-server"   // a removed server has a row, and a new owner is named
+	RuleInUse         Rule = "in-use"           // each owner and previous owner of a shard has a row
+	RuleShards        Rule = "shards"           // rows of shards are contiguous and don't shrink
+	RuleShardEpoch    Rule = "shard-epoch"      // a new owner of a shard has a higher epoch
+	RulePrevious      Rule = "previous-owner"   // the previous owner is recorded, so that it can be asked to release
+	RuleUnreleased    Rule = "unreleased-shard" // a shard moves to a third server only after its release
 )
 
-// Finding is one rule that a transaction would break.
+// Finding is one violation of a rule by a transaction.
 type Finding struct {
 	Rule  Rule
 	Row   ident.Row
-	Shard ident.Shard // with rules about shards
+	Shard ident.Shard // set only by rules about one shard
 	Text  string
 }
 
-// Findings are all rules that a transaction would break.
+// Findings are all rule violations of a transaction.
 type Findings []Finding
 
-// Error implements error, one finding a line.
+// Error implements error and returns one finding per line.
 func (f Findings) Error() string {
 	return f.Check().Error()
 }
 
-// Check returns the findings with their place, as other input checks report them.
+// Check returns the findings in the form of other input checks, with the row as the place.
 func (f Findings) Check() check.Findings {
 	var l check.Findings
 	for _, x := range f {
@@ -87,11 +87,12 @@
 	}
 }
 
-// checkWitnesses lets a set change only by way of both sets at once.
+// checkWitnesses allows a set to change only through a step in which both sets are named.
 //
-// With one step from the old set to the new, a holder that has not heard of it could renew at a majority
-// of the old set while another daemon is given the same server's lease by a majority of the new one: two
-// senders. While both are named, every new lease needs a majority of both, so the two must meet.
+// If the old set were replaced in one step, a lease holder that has not received the change could renew at
+// a majority of the old set while a majority of the new one grants another daemon the same lease. Two
+// daemons would then send to one server. While both sets are named, a new lease needs a majority of each,
+// so the two requests share a witness.
 func (f *Findings) checkWitnesses(old, w Witnesses) {
 	f.checkSet("current", w.Current)
 	if w.Changing() {
@@ -100,14 +101,14 @@
 	switch {
 	case len(old.Current) == 0:
 		if w.Changing() {
-			f.addf(RuleWitnessChange, WitnessesRow, "the first witnesses have none to replace")
+			f.addf(RuleWitnessChange, WitnessesRow, "the first witness set can't name a next set")
 		}
 	case old.Changing() && (w.Changing() || !slices.Equal(w.Current, old.Next)):
-		f.addf(RuleWitnessChange, WitnessesRow, "the change to %v is under way and must be settled first", old.Next)
+		f.addf(RuleWitnessChange, WitnessesRow, "the change to %v must be completed first", old.Next)
 	case old.Changing() && !slices.Equal(w.Retired, old.Current):
-		f.addf(RuleWitnessChange, WitnessesRow, "settling must retire %v", old.Current)
+		f.addf(RuleWitnessChange, WitnessesRow, "completing the change must retire %v", old.Current)
 	case !old.Changing() && !slices.Equal(w.Current, old.Current):
-		f.addf(RuleWitnessChange, WitnessesRow, "current must stay %v beside the next set", old.Current)
+		f.addf(RuleWitnessChange, WitnessesRow, "current must stay %v while the next set is added", old.Current)
 	}
 }
 
@@ -135,15 +136,15 @@
 	if old, ok := p.Servers[s.ID]; ok {
 		f.checkServerEpoch(row, old, s)
 	} else if s.Epoch < p.FirstEpoch() {
-		f.addf(RuleServerEpoch, row, "epoch %d may have been used by an earlier row, the first free one is %d", s.Epoch, p.FirstEpoch())
+		f.addf(RuleServerEpoch, row, "epoch %d may have been used by an earlier row, the lowest free epoch is %d", s.Epoch, p.FirstEpoch())
 	}
 }
 
-// checkServerEpoch keeps each epoch of a server with one daemon.
+// checkServerEpoch ensures that each epoch of a server belongs to one daemon.
 //
-// Witnesses tell lease holders apart by epoch. If the standby of an epoch were exchanged, or a third daemon
-// written with the epoch that the standby may already have taken, two daemons could hold leases under one
-// number and no witness would notice. Epoch+1 is the standby's, whatever else is written.
+// Witnesses identify lease holders by epoch. If the standby of an epoch were replaced, or a third daemon
+// got the epoch that the standby may already use, two daemons could hold leases with the same epoch and no
+// witness would detect it. Epoch+1 is therefore always reserved for the standby.
 func (f *Findings) checkServerEpoch(row ident.Row, old, s Server) {
 	switch {
 	case s.Epoch < old.Epoch:
@@ -155,13 +156,13 @@
 	case s.Epoch == old.Epoch && s.Standby != old.Standby && old.Standby != "":
 		f.addf(RuleStandby, row, "epoch %d belongs to the standby %s", s.Epoch+1, old.Standby)
 	case s.Epoch == old.Epoch && old.Supersede && !s.Supersede:
-		f.addf(RuleServerEpoch, row, "epoch %d has been told to supersede", s.Epoch)
+		f.addf(RuleServerEpoch, row, "supersede can't be cleared within epoch %d", s.Epoch)
 	case s.Epoch == old.Epoch+1 && old.Standby != "" && s.Home != old.Standby:
 		f.addf(RuleServerEpoch, row, "epoch %d belongs to the standby %s", s.Epoch, old.Standby)
 	}
 }
 
-func (f *Findings) checkKnown(p *Part, s ident.Server) {
+func (f *Findings) checkServerExists(p *Part, s ident.Server) {
 	if _, ok := p.Servers[s]; !ok {
 		f.addf(RuleUnknownServer, ServerRow(s), "%s has no row to remove", s)
 	}
@@ -170,7 +171,7 @@
 func (f *Findings) checkShards(p *Part, c SetShards) {
 	switch {
 	case c.Chunk < 0 || c.Chunk > p.Chunks() || len(c.Owners) == 0 || len(c.Owners) > ChunkSize:
-		f.addf(RuleShards, c.Row(), "a row has 1 to %d shards and follows the rows before it", ChunkSize)
+		f.addf(RuleShards, c.Row(), "a row has 1 to %d shards and no gap before it", ChunkSize)
 		return
 	case c.Chunk < p.Chunks() && len(c.Owners) < len(p.Chunk(c.Chunk)):
 		f.addf(RuleShards, c.Row(), "a row of %d shards can't shrink to %d", len(p.Chunk(c.Chunk)), len(c.Owners))
@@ -185,12 +186,12 @@
 	}
 }
 
-// checkShard lets a shard change hands only in steps of which each can be waited for.
+// checkShard allows a shard to change owner only if the release by its previous owner can be awaited.
 //
-// A row names one previous owner, which the next one asks for release. If a shard went from a to b to c
-// before a had released it, c would ask b, b never had the shard and says so, and a, which may not have
-// heard of any move, goes on serving: two owners. So the shard stays until a's release is written down, or
-// goes back to a, which needs no release from itself.
+// A row names one previous owner, which the new owner asks for release. If a shard moved from a to b to c
+// before a released it, c would ask b, which reports that it never had the shard. a may not have received
+// either move and would go on serving, so the shard would have two owners. The shard therefore stays with b
+// until a's release is recorded, or moves back to a, which needs no release from itself.
 func (f *Findings) checkShard(s ident.Shard, old, o Ownership) {
 	same := o.Server == old.Server
 	switch {
@@ -200,7 +201,7 @@
 	case o.Epoch < old.Epoch || (o.Epoch == old.Epoch && !same):
 		f.addShard(RuleShardEpoch, s, "epoch %d of %s is not higher than %d of %s", o.Epoch, o.Server, old.Epoch, old.Server)
 	case same && (o.Epoch != old.Epoch || o.Previous != ""):
-		f.addShard(RuleShardEpoch, s, "%s stays the owner, so only its previous owner can be cleared", o.Server)
+		f.addShard(RuleShardEpoch, s, "%s stays the owner, so only the previous owner can be cleared", o.Server)
 	case !same && o.Previous != old.Server:
 		f.addShard(RulePrevious, s, "previous owner %q must be %q", o.Previous, old.Server)
 	case !same && old.Previous != "" && o.Server != old.Previous:
@@ -208,7 +209,7 @@
 	}
 }
 
-// checkOwners finds shards that a transaction leaves with an owner, or a previous owner, without a row.
+// checkOwners reports shards whose owner or previous owner has no row after the transaction.
 func (f *Findings) checkOwners(n *Part, changes []Change) {
 	if !touchesOwners(changes) {
 		return
