--- a/io/rows/encode.go
+++ b/io/rows/encode.go
@@ -11,16 +11,16 @@
 	"heatherrouter/io/wire"
 )
 
-// Encode returns the rows that one transaction of changes writes.
+// Encode returns the row writes of one transaction, in the order of changes. A removed server has a nil body.
 func Encode(changes []part.Change) []docs.Change {
 	out := make([]docs.Change, 0, len(changes))
 	for _, c := range changes {
-		out = append(out, docs.Change{Row: c.Row(), Body: body(c)})
+		out = append(out, docs.Change{Row: c.Row(), Body: encodeBody(c)})
 	}
 	return out
 }
 
-// Rows returns every row of a part, as its document holds them.
+// Rows returns all rows of the document that stores the part.
 func Rows(p *part.Part) []docs.Change {
 	var l []part.Change
 	if len(p.Witnesses.Current) > 0 {
@@ -35,7 +35,7 @@
 	return Encode(l)
 }
 
-func body(c part.Change) []byte {
+func encodeBody(c part.Change) []byte {
 	var m proto.Message
 	switch c := c.(type) {
 	case part.RemoveServer:
@@ -48,8 +48,8 @@
 	case part.SetShards:
 		m = shardsRow(c)
 	}
-	// Marshal fails only on text that is no UTF-8, and every name in a part comes from checked settings or
-	// from rows that were decoded.
+	// Marshal fails only on strings that are not valid UTF-8. All names in a part come from validated settings or
+	// from decoded rows.
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -76,13 +76,13 @@
 	m := &wire.ShardsRow{First: uint32(c.Chunk * part.ChunkSize)}
 	for _, o := range c.Owners {
 		m.Owners = append(m.Owners, &wire.ShardOwner{
-			Server: short(o.Server), Epoch: uint64(o.Epoch), Previous: short(o.Previous),
+			Server: shortName(o.Server), Epoch: uint64(o.Epoch), Previous: shortName(o.Previous),
 		})
 	}
 	return m
 }
 
-func short(s ident.Server) string {
+func shortName(s ident.Server) string {
 	_, n, _ := strings.Cut(string(s), "/")
 	return n
 }
--- a/io/rows/rows.go
+++ b/io/rows/rows.go
@@ -1,4 +1,4 @@
-// Package rows is the codec between the aggregate part.Part and the rows of its document.
+// Package rows converts a part.Part to and from the rows of its document.
 package rows
 
 import (
@@ -16,9 +16,9 @@
 	"heatherrouter/io/wire"
 )
 
-// Decode builds the part from a copy of its document, or reports every row that is no good as check.Findings.
+// Decode builds the part from a copy of its document, or returns all invalid rows as check.Findings.
 //
-// It takes rows as the table has them and does not apply the rules of changes again: whoever wrote them did.
+// Decode does not check the rules for changes again: the writer of the rows has applied them.
 func Decode(s ident.Service, d *docs.Doc) (*part.Part, error) {
 	r := newReader(part.New(s))
 	r.p.Rev = d.Rev
@@ -32,8 +32,8 @@
 	return r.p, nil
 }
 
-// Advance builds the part from a newer copy of the document that the old part was built from. Only the rows that have
-// changed are read: a move of one shard must not cost the reading of a million others.
+// Advance builds the part from a newer copy of the document that the old part was built from. It decodes only the
+// changed rows where it can, so that moving one shard doesn't require decoding a million others.
 func Advance(old *part.Part, d *docs.Doc) (*part.Part, error) {
 	if old == nil || d.Rev < old.Rev {
 		return Decode(ident.Service(strings.TrimPrefix(string(d.Name), "part/")), d)
@@ -47,12 +47,12 @@
 			continue
 		}
 		if len(x.Body) == 0 {
-			return Decode(old.Service, d) // a removed server is rare, and may still be named by any shard
+			return Decode(old.Service, d) // removals are rare, and any shard may still refer to the server
 		}
 		r.row(n, x.Body)
 	}
 	for i, m := range r.chunks {
-		if !r.replace(i, m) {
+		if !r.replaceChunk(i, m) {
 			return Decode(old.Service, d)
 		}
 	}
@@ -62,8 +62,8 @@
 	return r.p, nil
 }
 
-// replace puts a row of shards in the place of the old one; false when the shape of the shards has changed.
-func (r *reader) replace(i int, m *wire.ShardsRow) bool {
+// replaceChunk replaces the owners of chunk i. It returns false if the number of shards has changed.
+func (r *reader) replaceChunk(i int, m *wire.ShardsRow) bool {
 	first := i * part.ChunkSize
 	if first+len(m.Owners) > len(r.p.Shards) || len(m.Owners) != min(part.ChunkSize, len(r.p.Shards)-first) {
 		return false
@@ -76,7 +76,7 @@
 
 type reader struct {
 	p      *part.Part
-	ids    map[string]ident.Server // by short name; one string for all shards of a server
+	ids    map[string]ident.Server // by short name; all shards of a server share one string
 	chunks map[int]*wire.ShardsRow
 	f      check.Findings
 }
@@ -139,7 +139,7 @@
 	short := strings.TrimPrefix(string(n), part.ServerPrefix)
 	st, ok := stateFrom(m.State)
 	if short == "" || m.Home == "" || m.Epoch == 0 || !ok {
-		r.addf(n, "needs a name, a home, an epoch and a known state")
+		r.addf(n, "server row requires a name, a home, an epoch and a known state")
 		return
 	}
 	id := ident.ServerID(r.p.Service, short)
@@ -156,17 +156,17 @@
 	}
 	i, err := strconv.Atoi(strings.TrimPrefix(string(n), part.ShardsPrefix))
 	if err != nil || i < 0 || n != part.ShardsRow(i) || int64(m.First) != int64(i)*part.ChunkSize {
-		r.addf(n, "the name does not go with first shard %d", m.First)
+		r.addf(n, "row name does not match first shard %d", m.First)
 		return
 	}
 	if len(m.Owners) == 0 || len(m.Owners) > part.ChunkSize {
-		r.addf(n, "%d shards in a row of 1 to %d", len(m.Owners), part.ChunkSize)
+		r.addf(n, "row has %d shards, want 1 to %d", len(m.Owners), part.ChunkSize)
 		return
 	}
 	r.chunks[i] = &m
 }
 
-// shards joins the rows of shards; a gap is a finding, since every later shard would get the wrong number.
+// shards joins the shard rows. It reports a missing row, as all later shards would get the wrong number.
 func (r *reader) shards() {
 	if len(r.chunks) > 0 {
 		r.p.Shards = make([]part.Ownership, 0, len(r.chunks)*part.ChunkSize)
@@ -174,11 +174,11 @@
 	for i := range len(r.chunks) {
 		m, ok := r.chunks[i]
 		if !ok {
-			r.addf(part.ShardsRow(i), "missing, though later rows of shards are there")
+			r.addf(part.ShardsRow(i), "missing, but later shard rows exist")
 			return
 		}
 		if i < len(r.chunks)-1 && len(m.Owners) != part.ChunkSize {
-			r.addf(part.ShardsRow(i), "%d shards, though only the last row may be short", len(m.Owners))
+			r.addf(part.ShardsRow(i), "row has %d shards, but only the last row may be short", len(m.Owners))
 		}
 		for _, o := range m.Owners {
 			r.p.Shards = append(r.p.Shards, r.owner(part.ShardsRow(i), len(r.p.Shards), o))
@@ -195,11 +195,11 @@
 		o.Previous = r.id(m.Previous)
 	}
 	if o.Server == "" || o.Epoch == 0 {
-		r.addf(n, "shard %d needs an owner and an epoch", shard)
+		r.addf(n, "shard %d requires an owner and an epoch", shard)
 	}
 	for _, s := range []ident.Server{o.Server, o.Previous} {
 		if _, ok := r.p.Servers[s]; s != "" && !ok {
-			r.addf(n, "shard %d names %s, which has no row", shard, s)
+			r.addf(n, "shard %d refers to server %s, which has no row", shard, s)
 		}
 	}
 	return o
--- a/io/rows/rows_test.go
+++ b/io/rows/rows_test.go
@@ -30,8 +30,8 @@
 	p.Rev = ident.Rev(rapid.Uint64().Draw(t, "rev"))
 	p.Witnesses = part.Witnesses{
 		Current: rapid.SliceOfN(daemon, 1, 5).Draw(t, "current"),
-		Next:    emptyNil(rapid.SliceOfN(daemon, 0, 5).Draw(t, "next")),
-		Retired: emptyNil(rapid.SliceOfN(daemon, 0, 5).Draw(t, "retired")),
+		Next:    nilIfEmpty(rapid.SliceOfN(daemon, 0, 5).Draw(t, "next")),
+		Retired: nilIfEmpty(rapid.SliceOfN(daemon, 0, 5).Draw(t, "retired")),
 	}
 	var ids []ident.Server
 	for _, n := range names {
@@ -53,14 +53,14 @@
 	return p
 }
 
-func emptyNil(l []ident.Daemon) []ident.Daemon {
+func nilIfEmpty(l []ident.Daemon) []ident.Daemon {
 	if len(l) == 0 {
 		return nil
 	}
 	return l
 }
 
-func TestRowsDecodeToTheSamePart(t *testing.T) {
+func TestDecodeReversesRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPart(t)
 		got, err := Decode("svc", doc(p.Rev, Rows(p)))
@@ -69,12 +69,12 @@
 	})
 }
 
-func TestRemovedRowHasNoBody(t *testing.T) {
+func TestRemovedServerHasNilBody(t *testing.T) {
 	l := Encode([]part.Change{part.RemoveServer{ID: "svc/a"}})
 	require.Equal(t, []docs.Change{{Row: "server/a"}}, l)
 }
 
-func TestEveryBadRowIsAFinding(t *testing.T) {
+func TestInvalidRowsAreReported(t *testing.T) {
 	marshal := func(m proto.Message) []byte {
 		b, err := proto.Marshal(m)
 		require.NoError(t, err)
@@ -88,32 +88,32 @@
 	for _, c := range []struct {
 		row  ident.Row
 		body []byte
-		says string
+		want string
 	}{
 		{"witnesses", []byte{0xff}, "not a WitnessRow"},
 		{"witnesses", marshal(&wire.WitnessRow{Next: []string{"x"}}), "no current witness"},
-		{"server/b", marshal(&wire.ServerRow{Home: "d"}), "needs a name"},
+		{"server/b", marshal(&wire.ServerRow{Home: "d"}), "requires a name"},
 		{"server/b", marshal(&wire.ServerRow{Home: "d", Epoch: 1, State: 9}), "known state"},
-		{"server/", marshal(&wire.ServerRow{Home: "d", Epoch: 1}), "needs a name"},
+		{"server/", marshal(&wire.ServerRow{Home: "d", Epoch: 1}), "requires a name"},
 		{"shards/1", marshal(&wire.ShardsRow{First: 64, Owners: []*wire.ShardOwner{owner}}), "only the last row may be short"},
 		{"shards/2", marshal(&wire.ShardsRow{First: 128, Owners: []*wire.ShardOwner{owner}}), "shards/1: missing"},
-		{"shards/0", marshal(&wire.ShardsRow{First: 1, Owners: []*wire.ShardOwner{owner}}), "does not go with"},
-		{"shards/00", marshal(&wire.ShardsRow{Owners: []*wire.ShardOwner{owner}}), "does not go with"},
+		{"shards/0", marshal(&wire.ShardsRow{First: 1, Owners: []*wire.ShardOwner{owner}}), "does not match first shard"},
+		{"shards/00", marshal(&wire.ShardsRow{Owners: []*wire.ShardOwner{owner}}), "does not match first shard"},
 		{"shards/0", marshal(&wire.ShardsRow{First: 0}), ""},
 		{"shards/0", marshal(&wire.ShardsRow{Owners: []*wire.ShardOwner{{Server: "x", Epoch: 1}}}), "has no row"},
 		{"shards/0", marshal(&wire.ShardsRow{Owners: []*wire.ShardOwner{{Server: "a", Epoch: 1, Previous: "x"}}}), "has no row"},
-		{"shards/0", marshal(&wire.ShardsRow{Owners: []*wire.ShardOwner{{Epoch: 1}}}), "needs an owner"},
+		{"shards/0", marshal(&wire.ShardsRow{Owners: []*wire.ShardOwner{{Epoch: 1}}}), "requires an owner"},
 		{"other", []byte{1}, "unknown row"},
 	} {
 		d := doc(3, append(good, docs.Change{Row: c.row, Body: c.body}))
 		_, err := Decode("svc", d)
-		if c.says == "" {
-			require.NoError(t, err, "an empty message is an empty row, which is no row")
+		if c.want == "" {
+			require.NoError(t, err, "a row with an empty body counts as absent")
 			continue
 		}
 		var f check.Findings
 		require.ErrorAs(t, err, &f, "%s", c.row)
-		require.ErrorContains(t, err, c.says)
+		require.ErrorContains(t, err, c.want)
 	}
 }
 
--- a/io/rows/slope_test.go
+++ b/io/rows/slope_test.go
@@ -14,7 +14,7 @@
 	"heatherrouter/io/rows"
 )
 
-// bigDoc returns the document of a service with that many shards and servers.
+// bigDoc returns the document of a service with the given numbers of shards and servers.
 func bigDoc(shards, servers int) *docs.Doc {
 	p := part.New("big")
 	for i := range servers {
@@ -33,7 +33,7 @@
 	return d
 }
 
-// heap returns the bytes in use.
+// heap returns the bytes allocated on the heap after a garbage collection.
 func heap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -41,36 +41,36 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkSlopeMap measures what a daemon holds of a service's assignments, and how long a new copy takes to decode.
+// BenchmarkSlopeMap measures the memory of a service's assignments in a daemon, and the time to decode a new copy.
 func BenchmarkSlopeMap(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000, 4_000_000} {
 		b.Run(fmt.Sprintf("shards=%d", n), func(b *testing.B) {
 			empty := heap()
 			d := bigDoc(n, max(15, n/128))
-			rowsHeld := heap()
+			heapWithRows := heap()
 			var p *part.Part
 			for b.Loop() {
 				var err error
 				p, err = rows.Decode("big", d)
 				require.NoError(b, err)
 			}
-			both := heap()
-			b.ReportMetric(float64(rowsHeld-empty)/float64(n), "row-B/shard")
-			b.ReportMetric(float64(both-rowsHeld)/float64(n), "part-B/shard")
+			heapWithBoth := heap()
+			b.ReportMetric(float64(heapWithRows-empty)/float64(n), "row-B/shard")
+			b.ReportMetric(float64(heapWithBoth-heapWithRows)/float64(n), "part-B/shard")
 			runtime.KeepAlive(p)
 			runtime.KeepAlive(d)
 		})
 	}
 }
 
-// BenchmarkSlopeAdvance measures how long a copy takes that differs by one shard.
+// BenchmarkSlopeAdvance measures the time to decode a copy that differs by one shard.
 func BenchmarkSlopeAdvance(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("shards=%d", n), func(b *testing.B) {
 			d := bigDoc(n, max(15, n/128))
 			p, err := rows.Decode("big", d)
 			require.NoError(b, err)
-			moved := moveOne(p, d)
+			moved := withMovedShard(p, d)
 			for b.Loop() {
 				_, err := rows.Advance(p, moved)
 				require.NoError(b, err)
@@ -79,8 +79,8 @@
 	}
 }
 
-// moveOne returns the document after shard 70 has moved to the next server.
-func moveOne(p *part.Part, d *docs.Doc) *docs.Doc {
+// withMovedShard returns the document after shard 70 has moved to the next server.
+func withMovedShard(p *part.Part, d *docs.Doc) *docs.Doc {
 	o := slices.Clone(p.Chunk(1))
 	o[6] = part.Ownership{Server: o[7].Server, Epoch: o[6].Epoch + 1, Previous: o[6].Server}
 	x := docs.Delta{Name: d.Name, From: d.Rev, Rev: d.Rev + 1, Rows: map[ident.Row]docs.Row{}}
@@ -91,11 +91,11 @@
 	return next
 }
 
-func TestAdvanceIsDecode(t *testing.T) {
+func TestAdvanceMatchesDecode(t *testing.T) {
 	d := bigDoc(1000, 15)
 	p, err := rows.Decode("big", d)
 	require.NoError(t, err)
-	for _, next := range []*docs.Doc{moveOne(p, d), withoutServer(d), bigger(d)} {
+	for _, next := range []*docs.Doc{withMovedShard(p, d), withoutServer(d), withMoreShards(d)} {
 		a, err := rows.Advance(p, next)
 		want, wantErr := rows.Decode("big", next)
 		require.Equal(t, wantErr, err)
@@ -104,7 +104,7 @@
 	require.Equal(t, part.Ownership{Server: "big/server-00010", Epoch: 9}, p.Owner(70), "the old part must not change")
 }
 
-// withoutServer removes the row of a server that still owns shards, which is a finding.
+// withoutServer returns the document without the row of a server that still owns shards, which Decode reports.
 func withoutServer(d *docs.Doc) *docs.Doc {
 	next, _ := d.Apply(docs.Delta{Name: d.Name, From: d.Rev, Rev: d.Rev + 1, Rows: map[ident.Row]docs.Row{
 		part.ServerRow("big/server-00014"): {Rev: d.Rev + 1},
@@ -112,8 +112,8 @@
 	return next
 }
 
-// bigger is a document with more shards.
-func bigger(d *docs.Doc) *docs.Doc {
+// withMoreShards returns the document extended to 1200 shards.
+func withMoreShards(d *docs.Doc) *docs.Doc {
 	x := bigDoc(1200, 15)
 	delta := docs.Delta{Name: d.Name, From: d.Rev, Rev: d.Rev + 1, Rows: map[ident.Row]docs.Row{}}
 	for n, r := range x.Rows {
