--- a/io/table/bench_test.go
+++ b/io/table/bench_test.go
@@ -14,7 +14,7 @@
 	"heatherrouter/io/table"
 )
 
-// BenchmarkStore measures the adapter and the stand-in together, both in this process.
+// BenchmarkStore measures the store and the fake table service together in one process.
 func BenchmarkStore(b *testing.B) {
 	f, err := fakes.NewTable(fakes.TableOptions{})
 	require.NoError(b, err)
--- a/io/table/body.go
+++ b/io/table/body.go
@@ -6,17 +6,16 @@
 	"net/http"
 )
 
-// wholeBody sends request bodies from a copy of its own.
+// bufferedBody is a round tripper that sends each request body from its own in-memory copy.
 //
-// The SDK closes its body while the transport's writing goroutine may still be at it. The write then ends with an
-// error, and a sound connection is given up: about one in twenty requests opened a new one. A copy that nobody else
-// closes can't be ended under way.
-type wholeBody struct {
+// The SDK may close a body while the transport is still writing it. The write then fails and the transport drops a
+// healthy connection: about one in twenty requests opened a new one. The SDK can't close the copy.
+type bufferedBody struct {
 	next http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (w wholeBody) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w bufferedBody) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.Body == nil {
 		return w.next.RoundTrip(r)
 	}
@@ -30,8 +29,8 @@
 	return w.next.RoundTrip(c)
 }
 
-// CloseIdleConnections lets http.Client.CloseIdleConnections through.
-func (w wholeBody) CloseIdleConnections() {
+// CloseIdleConnections forwards http.Client.CloseIdleConnections to the wrapped round tripper.
+func (w bufferedBody) CloseIdleConnections() {
 	if c, ok := w.next.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
--- a/io/table/commit.go
+++ b/io/table/commit.go
@@ -18,13 +18,13 @@
 	"heatherrouter/core/ident"
 )
 
-// commitTries bounds how often one call of Commit sends its transaction, the first time included.
-const commitTries = 3
+// maxCommitAttempts limits how often one call of Commit sends its transaction, including the first attempt.
+const maxCommitAttempts = 3
 
 // Commit writes the changes as revision from+1 in one transaction and returns that revision.
 //
 // The id must be unique to these changes. The errors are ConflictError, UnavailableError, UnknownError and
-// TooManyError; after an UnknownError the same call may be made again, and settles it.
+// TooManyError. After an UnknownError, repeating the call with the same arguments determines the outcome.
 func (s *Store) Commit(ctx context.Context, doc ident.Doc, from ident.Rev, txn ident.Txn, changes []docs.Change) (ident.Rev, error) {
 	if err := validate(doc, txn, changes); err != nil {
 		return 0, trace.Wrap(err)
@@ -41,62 +41,62 @@
 		return &TooManyError{Doc: doc, Changes: len(changes)}
 	}
 	if doc == "" || txn == "" {
-		return trace.BadParameter("a transaction needs a document and an id")
+		return trace.BadParameter("transaction requires a document and an id")
 	}
 	seen := map[ident.Row]bool{}
 	for _, x := range changes {
 		if x.Row == "" || x.Row == headRow || seen[x.Row] {
-			return trace.BadParameter("transaction %s changes row %q: empty, reserved or twice", txn, x.Row)
+			return trace.BadParameter("transaction %s changes row %q: name is empty, reserved or repeated", txn, x.Row)
 		}
 		seen[x.Row] = true
 	}
 	return nil
 }
 
-// commit is one call of Commit.
+// commit is the state of one call of Commit.
 type commit struct {
 	store   *Store
 	doc     ident.Doc
 	from    ident.Rev
 	txn     ident.Txn
 	changes []docs.Change
-	pending bool // a try was sent, perhaps by an earlier call, that may have been written or may yet be
+	pending bool // an attempt of this or an earlier call may have been written or may still be
 }
 
-// sent is what is certain after one try.
-type sent int
+// attemptResult is what is known after one attempt.
+type attemptResult int
 
 const (
-	sentWritten  sent = iota
-	sentRefused       // the head was not at the revision
-	sentRejected      // not written, and never will be, for another reason
-	sentLost          // perhaps written, perhaps later
+	resultWritten         attemptResult = iota
+	resultConditionFailed               // the head was not at the expected revision
+	resultRejected                      // not written and never will be, for another reason
+	resultUnknown                       // may have been written or may still be
 )
 
-// run sends the transaction until its outcome is certain.
+// run sends the transaction until its outcome is certain or the attempts are used up.
 //
-// A reply may be lost after the write took effect, or the write may still be under way when its sender gives up,
-// and land later. Reading the head tells the first from a conflict, but a head that hasn't moved proves nothing.
-// Sending the very same transaction again does: whichever copy lands first moves the head, so the other fails its
-// condition for good. That is enough because no condition refers to anything but the head.
+// A response may be lost after the write took effect, or the write may take effect after the sender timed out.
+// Reading the head distinguishes the first case from a conflict, but an unchanged head proves nothing. Sending the
+// identical transaction again does: the first copy to take effect advances the head, and the condition of every
+// other copy then fails permanently. This suffices because conditions refer only to the head.
 func (c *commit) run(ctx context.Context) (ident.Rev, error) {
 	h, err := c.start(ctx)
-	for range commitTries {
+	for range maxCommitAttempts {
 		if err != nil {
-			return 0, c.gaveUp(err)
+			return 0, c.failure(err)
 		}
 		if h.rev != c.from {
 			return c.decide(ctx, h)
 		}
-		var o sent
+		var o attemptResult
 		o, err = c.send(ctx, h.next(c.txn))
 		switch o {
-		case sentWritten:
+		case resultWritten:
 			return c.from + 1, nil
-		case sentRejected:
-			return 0, c.gaveUp(err)
-		case sentRefused:
-		case sentLost:
+		case resultRejected:
+			return 0, c.failure(err)
+		case resultConditionFailed:
+		case resultUnknown:
 			c.pending = true
 		}
 		h, err = c.store.readHead(ctx, c.doc)
@@ -104,21 +104,21 @@
 	if err == nil && h.rev != c.from {
 		return c.decide(ctx, h)
 	}
-	return 0, c.gaveUp(errors.Join(err, errUnsettled))
+	return 0, c.failure(errors.Join(err, errNoOutcome))
 }
 
-var errUnsettled = errors.New("no try had a certain outcome")
+var errNoOutcome = errors.New("no attempt had a certain outcome")
 
-// start returns the head to build on; one that was seen at the revision before is as good as a new read.
+// start returns the head to write after. A cached head at revision from needs no new read.
 func (c *commit) start(ctx context.Context) (head, error) {
-	if h, ok := c.store.remembered(c.doc); ok && h.rev == c.from {
+	if h, ok := c.store.cachedHead(c.doc); ok && h.rev == c.from {
 		return h, nil
 	}
 	return c.store.readHead(ctx, c.doc)
 }
 
-// gaveUp tells "certainly not written" from "perhaps written".
-func (c *commit) gaveUp(err error) error {
+// failure returns an UnknownError if the transaction may have been written, otherwise an UnavailableError.
+func (c *commit) failure(err error) error {
 	if c.pending {
 		return &UnknownError{Doc: c.doc, From: c.from, Txn: c.txn, Err: err}
 	}
@@ -128,7 +128,7 @@
 	return &UnavailableError{Doc: c.doc, Err: err}
 }
 
-// decide tells whose transaction wrote revision from+1, once the head is not at from any more.
+// decide determines which transaction wrote revision from+1 when the head is no longer at from.
 func (c *commit) decide(ctx context.Context, h head) (ident.Rev, error) {
 	conflict := &ConflictError{Doc: c.doc, From: c.from, Found: h.rev}
 	if h.rev < c.from {
@@ -152,32 +152,32 @@
 			return 0, conflict
 		}
 	}
-	return 0, c.unknown(errForgotten)
+	return 0, c.unknown(errHistoryTruncated)
 }
 
-var errForgotten = errors.New("the document has moved on past its history")
+var errHistoryTruncated = errors.New("revision is older than the history of the document")
 
 func (c *commit) unknown(err error) error {
 	return &UnknownError{Doc: c.doc, From: c.from, Txn: c.txn, Err: err}
 }
 
-// send makes one try; next is the head that it would write.
-func (c *commit) send(ctx context.Context, next head) (sent, error) {
+// send makes one attempt to write the changes and the new head next.
+func (c *commit) send(ctx context.Context, next head) (attemptResult, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	_, err := c.store.client.TransactWriteItems(ctx, &dynamodb.TransactWriteItemsInput{TransactItems: c.items(next)})
 	if err == nil {
-		c.store.remember(c.doc, next)
-		return sentWritten, nil
+		c.store.cacheHead(c.doc, next)
+		return resultWritten, nil
 	}
 	o := classify(err)
 	if !connected.Load() {
-		o = sentRejected // without a connection not a byte of the request was sent
+		o = resultRejected // without a connection no byte of the request was sent
 	}
-	if o != sentRefused {
-		c.store.failed(c.doc, "commit", err)
+	if o != resultConditionFailed {
+		c.store.requestFailed(c.doc, "commit", err)
 	}
 	return o, err
 }
@@ -200,21 +200,21 @@
 	return l
 }
 
-// classify tells what an error of a try proves; whatever proves nothing is lost.
-func classify(err error) sent {
+// classify returns what the error of an attempt proves, or resultUnknown if it proves nothing.
+func classify(err error) attemptResult {
 	if x := (*types.TransactionCanceledException)(nil); errors.As(err, &x) {
-		refused := slices.ContainsFunc(x.CancellationReasons, func(r types.CancellationReason) bool {
+		failed := slices.ContainsFunc(x.CancellationReasons, func(r types.CancellationReason) bool {
 			return aws.ToString(r.Code) == "ConditionalCheckFailed"
 		})
-		if refused {
-			return sentRefused
+		if failed {
+			return resultConditionFailed
 		}
-		return sentRejected
+		return resultRejected
 	}
-	// The service answers 400 to what it didn't carry out, throttling included. Any other status may come from
-	// something in between, which can't know what became of the request.
+	// The service responds with 400 to requests that it did not execute, including throttled ones. Any other status
+	// may come from an intermediary, which can't know whether the request was executed.
 	if x := (*smithyhttp.ResponseError)(nil); errors.As(err, &x) && x.HTTPStatusCode() == http.StatusBadRequest {
-		return sentRejected
+		return resultRejected
 	}
-	return sentLost
+	return resultUnknown
 }
--- a/io/table/errors.go
+++ b/io/table/errors.go
@@ -6,19 +6,19 @@
 	"heatherrouter/core/ident"
 )
 
-// ConflictError says that somebody else's transaction took the revision; nothing of the caller's was written.
+// ConflictError reports that another transaction wrote the revision. No change of the caller was written.
 type ConflictError struct {
 	Doc   ident.Doc
 	From  ident.Rev
-	Found ident.Rev // revision that the document was found at
+	Found ident.Rev // current revision of the document
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("document %s is at revision %d, not %d", e.Doc, e.Found, e.From)
+	return fmt.Sprintf("document %s is at revision %d, want %d", e.Doc, e.Found, e.From)
 }
 
-// UnavailableError says that the table service can't be used now; of a commit nothing was written, nor will be.
+// UnavailableError reports that the table service is unavailable. A commit was not written and never will be.
 type UnavailableError struct {
 	Doc ident.Doc
 	Err error
@@ -32,8 +32,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// UnknownError says that a transaction may have been written, or may yet be.
-// Calling Commit again with the same arguments settles it.
+// UnknownError reports that a transaction may have been written or may still be.
+// Calling Commit again with the same arguments determines the outcome.
 type UnknownError struct {
 	Doc  ident.Doc
 	From ident.Rev
@@ -49,7 +49,7 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// TooManyError says that a transaction has more changes than the table service takes at once.
+// TooManyError reports that a transaction has more than MaxChanges changes.
 type TooManyError struct {
 	Doc     ident.Doc
 	Changes int
@@ -57,5 +57,5 @@
 
 // Error implements error.
 func (e *TooManyError) Error() string {
-	return fmt.Sprintf("transaction on document %s has %d changes, at most %d are possible", e.Doc, e.Changes, MaxChanges)
+	return fmt.Sprintf("transaction on document %s has %d changes, the limit is %d", e.Doc, e.Changes, MaxChanges)
 }
--- a/io/table/faults_test.go
+++ b/io/table/faults_test.go
@@ -20,15 +20,15 @@
 	"heatherrouter/io/table"
 )
 
-// newRelay returns a relay before the stand-in that can be cut.
-func newRelay(t *testing.T, f *fakes.Table) *cut.TCP {
+// newProxy returns a TCP proxy to the fake service that can block traffic.
+func newProxy(t *testing.T, f *fakes.Table) *cut.TCP {
 	r, err := cut.NewTCP(fakes.AnyPort, f.Addr())
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	return r
 }
 
-// requireOutcome requires an UnknownError, or else an UnavailableError.
+// requireOutcome requires an UnknownError if unknown is set, otherwise an UnavailableError.
 func requireOutcome(t *testing.T, err error, unknown bool) {
 	t.Helper()
 	if unknown {
@@ -40,15 +40,15 @@
 	require.ErrorAs(t, err, &u)
 }
 
-// The caller sees its commit succeed, once.
-// The write takes effect, its reply never comes, the connection is closed or goes silent. The head read back names
-// the transaction as the writer of the revision, so that nothing is guessed and nothing is written twice.
-func TestLostReplyIsSettled(t *testing.T) {
-	for _, silent := range []bool{false, true} {
-		t.Run(fmt.Sprintf("silent=%v", silent), func(t *testing.T) {
+// Guards against a wrong outcome or a second write after a lost response.
+// The write takes effect, but the connection is closed or stops responding. The head then names the transaction as
+// the writer of the revision, and the commit succeeds.
+func TestLostResponse(t *testing.T) {
+	for _, unresponsive := range []bool{false, true} {
+		t.Run(fmt.Sprintf("unresponsive=%v", unresponsive), func(t *testing.T) {
 			f := newFake(t)
 			s := newStore(t, f.URL(), 100*time.Millisecond)
-			set(t, f, fakes.Faults{LoseReplies: 1, LoseSilently: silent})
+			setFaults(t, f, fakes.Faults{LoseReplies: 1, LoseSilently: unresponsive})
 			r, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 			require.NoError(t, err)
 			require.Equal(t, ident.Rev(1), r)
@@ -57,14 +57,14 @@
 	}
 }
 
-// The caller sees its commit succeed although others committed before it could read back.
-// The write takes effect and its reply is lost; then others move the head on, by fewer or by more transactions than
-// the head's history holds, and may overwrite the same row. Past the history only the row can tell.
-func TestLostReplyAfterOthersMovedOn(t *testing.T) {
+// Guards against a wrong outcome when others commit before the head is read after a lost response.
+// They write fewer or more transactions than the head's history holds and may overwrite the same row. Beyond the
+// history only the row identifies the writer; if it is overwritten too, the outcome is unknown.
+func TestLostResponseThenOtherCommits(t *testing.T) {
 	tests := []struct {
 		name    string
 		others  int
-		row     string // that the others write
+		row     string // row that the others write
 		unknown bool
 	}{
 		{"one on the same row", 1, "x", false},
@@ -76,7 +76,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFake(t)
 			a, b := newStore(t, f.URL(), 300*time.Millisecond), newStore(t, f.URL(), time.Second)
-			set(t, f, fakes.Faults{LoseReplies: 1, LoseSilently: true})
+			setFaults(t, f, fakes.Faults{LoseReplies: 1, LoseSilently: true})
 			done := make(chan error)
 			go func() {
 				_, err := a.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
@@ -98,45 +98,44 @@
 	}
 }
 
-// The caller sees its commit succeed, once, though the service was slow to write it.
-// The sender gives up, reads the head (not moved), sends the same transaction again, which is written; then the
-// first copy lands, late, and fails its condition. A sender that took the unmoved head for "not written" would
-// have told its caller so, and the write would have come after that.
-func TestLateWriteLands(t *testing.T) {
+// Guards against reporting "not written" for a write that takes effect later.
+// The sender times out, reads an unchanged head and sends the same transaction again, which is written. The delayed
+// first copy then fails its condition. An unchanged head alone doesn't prove that nothing will be written.
+func TestDelayedWrite(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), 100*time.Millisecond)
-	set(t, f, fakes.Faults{DelayWrites: 1, DelayMS: 400})
+	setFaults(t, f, fakes.Faults{DelayWrites: 1, DelayMS: 400})
 	r, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 	require.NoError(t, err)
 	require.Equal(t, ident.Rev(1), r)
 	require.Eventually(t, func() bool { return f.Counts().Failed == 1 }, 2*time.Second, 5*time.Millisecond,
-		"the late copy must have been refused")
+		"the condition of the delayed copy must fail")
 	require.Equal(t, 1, f.Counts().Writes)
 }
 
-// The caller sees "unknown" and calls again with the same arguments, which settles it.
-// All copies are still under way when the sender gives up for good; one of them lands later.
-func TestUnknownIsSettledByCallingAgain(t *testing.T) {
+// Guards against an unknown outcome that repeating the call doesn't resolve.
+// All copies are still in flight when Commit returns; one of them takes effect later.
+func TestRepeatedCallResolvesUnknown(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), 50*time.Millisecond)
-	set(t, f, fakes.Faults{DelayWrites: 10, DelayMS: 600})
+	setFaults(t, f, fakes.Faults{DelayWrites: 10, DelayMS: 600})
 	_, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 	var u *table.UnknownError
 	require.ErrorAs(t, err, &u)
 	require.Eventually(t, func() bool { return f.Counts().Writes == 1 }, 2*time.Second, 5*time.Millisecond)
-	set(t, f, fakes.Faults{})
+	setFaults(t, f, fakes.Faults{})
 	r, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 	require.NoError(t, err)
 	require.Equal(t, ident.Rev(1), r)
 	require.Equal(t, 1, f.Counts().Writes)
 }
 
-// The caller sees a conflict: somebody else's transaction moved the head while its own was under way.
-// The late copy then fails its condition, so that "conflict" stays true.
-func TestLateWriteLosesToAnother(t *testing.T) {
+// Guards against a write that takes effect after Commit has reported a conflict.
+// Another transaction advances the head while the write is in flight; the delayed copy then fails its condition.
+func TestDelayedWriteAfterConflict(t *testing.T) {
 	f := newFake(t)
 	a, b := newStore(t, f.URL(), 200*time.Millisecond), newStore(t, f.URL(), time.Second)
-	set(t, f, fakes.Faults{DelayWrites: 1, DelayMS: 600})
+	setFaults(t, f, fakes.Faults{DelayWrites: 1, DelayMS: 600})
 	done := make(chan error)
 	go func() {
 		_, err := a.Commit(t.Context(), doc, 0, "a1", change("x", "a"))
@@ -153,8 +152,8 @@
 	require.Equal(t, "b", string(d.Body("x")))
 }
 
-// The caller sees "unavailable" where nothing can have been written, and "unknown" where it may.
-// A refused connection carried nothing; a service that hangs or answers with a server error may have got it all.
+// Commit reports "unavailable" if nothing can have been written, otherwise "unknown".
+// A refused connection transfers nothing; a service that hangs or responds with a server error may have the request.
 func TestOutages(t *testing.T) {
 	tests := []struct {
 		outage  fakes.Outage
@@ -170,7 +169,7 @@
 			s := newStore(t, f.URL(), 100*time.Millisecond)
 			_, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 			require.NoError(t, err)
-			set(t, f, fakes.Faults{Outage: tt.outage})
+			setFaults(t, f, fakes.Faults{Outage: tt.outage})
 
 			var unavailable *table.UnavailableError
 			_, err = s.Head(t.Context(), doc)
@@ -180,7 +179,7 @@
 			_, err = s.Commit(t.Context(), doc, 1, "t2", change("x", "2"))
 			requireOutcome(t, err, tt.unknown)
 
-			set(t, f, fakes.Faults{})
+			setFaults(t, f, fakes.Faults{})
 			r, err := s.Commit(t.Context(), doc, 1, "t2", change("x", "2"))
 			require.NoError(t, err)
 			require.Equal(t, ident.Rev(2), r)
@@ -188,27 +187,26 @@
 	}
 }
 
-// The caller sees "unknown" on both calls, never "certainly not written".
-// The first call's transaction is under way when the port closes; the second can't even connect, but the first
-// copy may land, and here it does.
+// Guards against reporting "not written" on a repeated call that can't connect.
+// The transaction of the first call is in flight when the port closes, and takes effect later.
 func TestUnreachableAfterUnknownStaysUnknown(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), 50*time.Millisecond)
-	set(t, f, fakes.Faults{DelayWrites: 10, DelayMS: 500})
+	setFaults(t, f, fakes.Faults{DelayWrites: 10, DelayMS: 500})
 	var u *table.UnknownError
 	_, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 	require.ErrorAs(t, err, &u)
-	set(t, f, fakes.Faults{Outage: fakes.RefuseOutage})
+	setFaults(t, f, fakes.Faults{Outage: fakes.RefuseOutage})
 	_, err = s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 	require.ErrorAs(t, err, &u)
 	require.Eventually(t, func() bool { return f.Counts().Writes == 1 }, 2*time.Second, 5*time.Millisecond)
 }
 
-// The largest document of the API's limits still commits and loads when the service is merely slow.
+// A row of 100 kB can be committed and loaded while the service is slow.
 func TestSlowService(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), 2*time.Second)
-	set(t, f, fakes.Faults{LatencyMS: 50})
+	setFaults(t, f, fakes.Faults{LatencyMS: 50})
 	_, err := s.Commit(t.Context(), doc, 0, "t1", []docs.Change{{Row: "x", Body: make([]byte, 100_000)}})
 	require.NoError(t, err)
 	d, err := s.Load(t.Context(), doc)
@@ -216,15 +214,15 @@
 	require.Len(t, d.Body("x"), 100_000)
 }
 
-// The caller waits for one timeout at most, then everything works again.
-// Something between the two ends forgets the open connections: they deliver nothing, without an end or a reset,
-// while new ones work. Several were open, and each would cost a timeout if the others stayed in the pool.
-func TestSilentConnectionsAreReplaced(t *testing.T) {
+// Guards against one timeout for each broken connection in the pool.
+// An intermediary drops the state of all open connections: they deliver nothing, without a close or a reset, while
+// new ones work. Only the first request may time out.
+func TestUnresponsiveConnectionsAreReplaced(t *testing.T) {
 	f := newFake(t)
-	r := newRelay(t, f)
+	r := newProxy(t, f)
 	const timeout = 200 * time.Millisecond
 	s := newStore(t, "http://"+r.Addr(), timeout)
-	set(t, f, fakes.Faults{LatencyMS: 50})
+	setFaults(t, f, fakes.Faults{LatencyMS: 50})
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -234,8 +232,8 @@
 		})
 	}
 	wg.Wait()
-	set(t, f, fakes.Faults{})
-	// A connection that was being opened when another became free is not in the relay yet; it would be a new one.
+	setFaults(t, f, fakes.Faults{})
+	// A connection still being opened is not in the proxy yet and would count as a new one.
 	time.Sleep(100 * time.Millisecond)
 	r.Silence()
 
@@ -249,18 +247,18 @@
 		require.NoError(t, err)
 	}
 
-	// A commit settles by itself over the new connection.
+	// Commit determines the outcome itself over a new connection.
 	r.Silence()
 	rev, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 	require.NoError(t, err)
 	require.Equal(t, ident.Rev(1), rev)
 }
 
-// The caller sees its commit written, or told as unknown, never as unavailable, through a cut of the answers only.
-// The transaction arrives and is written; nothing comes back until the cut ends.
-func TestCutOfTheAnswers(t *testing.T) {
+// Guards against "unavailable" for a written transaction when only responses are blocked.
+// The transaction arrives and is written, but no response arrives until the proxy forwards them again.
+func TestBlockedResponses(t *testing.T) {
 	f := newFake(t)
-	r := newRelay(t, f)
+	r := newProxy(t, f)
 	s := newStore(t, "http://"+r.Addr(), 100*time.Millisecond)
 
 	_, err := s.Head(t.Context(), doc)
@@ -276,8 +274,8 @@
 	require.Equal(t, ident.Rev(1), rev)
 }
 
-// A working service is spoken to over the same connection, again and again.
-// The SDK closes a request's body when the answer is there, which must not end the connection that carried both.
+// Guards against a new connection for requests to a healthy service.
+// The SDK closes the request body when the response arrives, which must not close the connection.
 func TestConnectionsAreReused(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), time.Second)
@@ -289,23 +287,23 @@
 	require.LessOrEqual(t, f.Counts().Conns, 5)
 }
 
-// The caller sees "unknown" as soon as its own deadline passes, not after the tries that would follow.
-func TestCallersDeadline(t *testing.T) {
+// Guards against further attempts after the caller's deadline has passed.
+func TestCallerDeadline(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), 5*time.Second)
-	set(t, f, fakes.Faults{Outage: fakes.HangOutage})
+	setFaults(t, f, fakes.Faults{Outage: fakes.HangOutage})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	began := time.Now()
 	var unknown *table.UnknownError
 	_, err := s.Commit(ctx, doc, 0, "t1", change("x", "1"))
 	var unavailable *table.UnavailableError
-	require.ErrorAs(t, err, &unavailable, "the head could not be read, nothing was sent")
+	require.ErrorAs(t, err, &unavailable, "the head could not be read, so nothing was sent")
 	s2 := newStore(t, f.URL(), 5*time.Second)
-	set(t, f, fakes.Faults{})
+	setFaults(t, f, fakes.Faults{})
 	_, err = s2.Head(t.Context(), doc)
 	require.NoError(t, err)
-	set(t, f, fakes.Faults{Outage: fakes.HangOutage})
+	setFaults(t, f, fakes.Faults{Outage: fakes.HangOutage})
 	ctx, cancel = context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, err = s2.Commit(ctx, doc, 0, "t1", change("x", "1"))
@@ -313,17 +311,17 @@
 	require.Less(t, time.Since(began), 2*time.Second)
 }
 
-// The caller sees "unavailable", at once and for sure, when the service refuses for too many requests.
+// A throttled commit is reported as unavailable at once, since it was not written.
 func TestThrottling(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), time.Second)
-	set(t, f, fakes.Faults{WriteLimit: 1})
+	setFaults(t, f, fakes.Faults{WriteLimit: 1})
 	_, err := s.Commit(t.Context(), doc, 0, "t1", change("x", "1"))
 	require.NoError(t, err)
 	_, err = s.Commit(t.Context(), doc, 1, "t2", change("x", "2"))
 	var u *table.UnavailableError
 	require.ErrorAs(t, err, &u)
-	set(t, f, fakes.Faults{ReadLimit: 1})
+	setFaults(t, f, fakes.Faults{ReadLimit: 1})
 	_, err = s.Head(t.Context(), doc)
 	require.NoError(t, err)
 	_, err = s.Head(t.Context(), doc)
@@ -332,9 +330,9 @@
 	require.Equal(t, 1, f.Counts().Writes)
 }
 
-// The caller sees "unavailable" only for a status that the service itself gives to what it didn't carry out.
-// The other ones may come from a balancer that gave up on a request which the service got and carried out.
-func TestStatuses(t *testing.T) {
+// Commit reports "unavailable" only for the status of requests that the service did not execute.
+// Other statuses may come from a load balancer that timed out on a request that the service executed.
+func TestResponseStatuses(t *testing.T) {
 	tests := []struct {
 		status  int
 		unknown bool
@@ -361,9 +359,9 @@
 	}
 }
 
-// The caller's tries are the only ones: an erring service gets one request for one read.
-// The SDK tries four times if left to itself, and so multiplies the load on a service that is already failing.
-func TestNoHiddenRetries(t *testing.T) {
+// Guards against retries by the SDK: a failing service gets one request for one read.
+// By default the SDK makes four attempts, which multiplies the load on a failing service.
+func TestNoSDKRetries(t *testing.T) {
 	var n atomic.Int64
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		n.Add(1)
--- a/io/table/items.go
+++ b/io/table/items.go
@@ -18,24 +18,24 @@
 	attrRev     = "rev"
 	attrTxn     = "txn"
 	attrBody    = "body"
-	attrHistory = "history" // of the head only
+	attrHistory = "history" // only in the head
 )
 
-// headRow is the reserved row of every document that holds its head.
+// headRow is the reserved name of the row that contains the head of a document.
 const headRow ident.Row = "head"
 
-// historyLen is how many transactions a head remembers.
+// historyLen is the maximum number of transaction ids in a head.
 const historyLen = 32
 
 type item = map[string]types.AttributeValue
 
-// head is the state of a document's head row.
+// head is the content of a document's head row.
 type head struct {
 	rev     ident.Rev
 	history []ident.Txn // history[0] wrote rev, history[1] wrote rev-1, and so on
 }
 
-// writer returns the transaction that wrote revision r, if the history reaches back that far.
+// writer returns the transaction that wrote revision r, if the history includes it.
 func (h head) writer(r ident.Rev) (ident.Txn, bool) {
 	if r > h.rev || h.rev-r >= ident.Rev(len(h.history)) {
 		return "", false
@@ -73,7 +73,7 @@
 	return m
 }
 
-// parseHead reads a head row; an absent one is revision 0.
+// parseHead decodes a head row. An absent row is revision 0.
 func parseHead(m item) (head, error) {
 	if len(m) == 0 {
 		return head{}, nil
@@ -90,14 +90,14 @@
 	for _, v := range l.Value {
 		t, ok := v.(*types.AttributeValueMemberS)
 		if !ok {
-			return head{}, trace.BadParameter("head row has an entry in %q that is no string", attrHistory)
+			return head{}, trace.BadParameter("head row has an entry in %q that is not a string", attrHistory)
 		}
 		h.history = append(h.history, ident.Txn(t.Value))
 	}
 	return h, nil
 }
 
-// parseRow reads a row's name and content.
+// parseRow decodes a row's name and content.
 func parseRow(m item) (ident.Row, docs.Row, error) {
 	n, ok := m[attrRow].(*types.AttributeValueMemberS)
 	if !ok {
@@ -121,7 +121,7 @@
 	}
 	n, err := strconv.ParseUint(v.Value, 10, 64)
 	if err != nil {
-		return 0, trace.BadParameter("item has a revision %q that is no counter", v.Value)
+		return 0, trace.BadParameter("item has revision %q, want an unsigned integer", v.Value)
 	}
 	return ident.Rev(n), nil
 }
--- a/io/table/outcomes_test.go
+++ b/io/table/outcomes_test.go
@@ -19,7 +19,7 @@
 
 const seedVar = "HEATHERROUTER_SEED"
 
-// testSeed returns the seed of a random test, a fresh one unless the environment gives it, and prints it.
+// testSeed returns and logs the seed of a random test: from the environment if set, otherwise from the clock.
 func testSeed(t *testing.T) uint64 {
 	s := uint64(time.Now().UnixNano())
 	if v := os.Getenv(seedVar); v != "" {
@@ -31,23 +31,23 @@
 	return s
 }
 
-// outcome is what the caller of one transaction got last.
+// outcome is the final result of one transaction for its caller.
 type outcome struct {
 	rev ident.Rev // when written
 	err error
 }
 
-// Callers are told the truth about every transaction, whatever the service does meanwhile.
-// Five committers race on one document while the service loses replies, writes late, hangs, errs and refuses.
-// "Written" must be in the table at that revision, "conflict" and "unavailable" must never be there, also not once
-// the late writes have landed. "Unknown" is asked again until it is settled.
-func TestOutcomesAreTrue(t *testing.T) {
+// Guards against wrong outcomes of transactions while the service fails.
+// Five committers race on one document while the service loses responses, delays writes, hangs, fails and refuses
+// connections. Written transactions must be in the table at their revision. Those with a conflict or an unavailable
+// service must never be there, even after all delayed writes. Unknown outcomes are retried until they are certain.
+func TestReportedOutcomesMatchTable(t *testing.T) {
 	const committers, each = 5, 40
 	seed := testSeed(t)
 	f := newFake(t)
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
-	faults.Go(func() { misbehave(f, rand.New(rand.NewPCG(seed, 99)), stop) })
+	faults.Go(func() { injectFaults(f, rand.New(rand.NewPCG(seed, 99)), stop) })
 
 	var mu sync.Mutex
 	all := map[ident.Txn]outcome{}
@@ -70,12 +70,12 @@
 	faults.Wait()
 	require.NoError(t, f.SetFaults(fakes.Faults{}))
 	time.Sleep(longestDelay + 50*time.Millisecond)
-	requireAsTold(t, f, all)
+	requireOutcomesMatch(t, f, all)
 }
 
 const longestDelay = 200 * time.Millisecond
 
-func misbehave(f *fakes.Table, r *rand.Rand, stop <-chan struct{}) {
+func injectFaults(f *fakes.Table, r *rand.Rand, stop <-chan struct{}) {
 	outages := []fakes.Outage{fakes.UpOutage, fakes.UpOutage, fakes.UpOutage, fakes.HangOutage, fakes.ErrorOutage, fakes.RefuseOutage}
 	for {
 		x := fakes.Faults{
@@ -92,7 +92,7 @@
 	}
 }
 
-// commitUntilSettled commits at the newest revision it can learn and asks again for as long as the outcome is unknown.
+// commitUntilSettled commits after the current revision and repeats the call while the outcome is unknown.
 func commitUntilSettled(t *testing.T, s *table.Store, txn ident.Txn, r *rand.Rand) outcome {
 	var from ident.Rev
 	for {
@@ -112,8 +112,8 @@
 	}
 }
 
-// requireAsTold compares the outcomes with the table.
-func requireAsTold(t *testing.T, f *fakes.Table, all map[ident.Txn]outcome) {
+// requireOutcomesMatch requires that the table matches the reported outcomes.
+func requireOutcomesMatch(t *testing.T, f *fakes.Table, all map[ident.Txn]outcome) {
 	d, err := newStore(t, f.URL(), 5*time.Second).Load(t.Context(), doc)
 	require.NoError(t, err)
 	count := map[string]int{}
@@ -124,13 +124,13 @@
 		switch {
 		case x.err == nil:
 			count["written"]++
-			require.Equal(t, x.rev, row.Rev, "%s was told to be written", txn)
+			require.Equal(t, x.rev, row.Rev, "%s was reported as written", txn)
 		case errors.As(x.err, &conflict):
 			count["conflict"]++
-			require.Zero(t, row.Rev, "%s was told to be a conflict", txn)
+			require.Zero(t, row.Rev, "%s was reported as a conflict", txn)
 		case errors.As(x.err, &unavailable):
 			count["unavailable"]++
-			require.Zero(t, row.Rev, "%s was told to be not written", txn)
+			require.Zero(t, row.Rev, "%s was reported as not written", txn)
 		default:
 			t.Fatalf("%s: %v", txn, x.err)
 		}
--- a/io/table/read.go
+++ b/io/table/read.go
@@ -11,15 +11,15 @@
 	"heatherrouter/core/ident"
 )
 
-var errChanging = errors.New("the document changes faster than it can be read")
+var errConcurrentWrites = errors.New("document changed during every attempt to load it")
 
-// failed makes the tries that follow use new connections.
+// requestFailed logs a failed request and closes the idle connections, so that later requests use new ones.
 //
-// A connection that something in between has forgotten delivers nothing for good. The transport closes the one
-// that just timed out, but others in its pool may be as dead, and each would cost one more timeout.
-func (s *Store) failed(doc ident.Doc, op string, err error) {
+// An intermediary may silently drop the state of open connections. The transport closes only the connection that
+// timed out; each other broken one in its pool would cost one more timeout.
+func (s *Store) requestFailed(doc ident.Doc, op string, err error) {
 	s.conns.CloseIdleConnections()
-	s.opts.Log.Warn().Str("doc", string(doc)).Str("op", op).Err(err).Msg("table service try failed")
+	s.opts.Log.Warn().Str("doc", string(doc)).Str("op", op).Err(err).Msg("table service request failed")
 }
 
 func (s *Store) getItem(ctx context.Context, doc ident.Doc, row ident.Row) (item, error) {
@@ -29,7 +29,7 @@
 		ConsistentRead: aws.Bool(true),
 	})
 	if err != nil {
-		s.failed(doc, "get", err)
+		s.requestFailed(doc, "get", err)
 		return nil, &UnavailableError{Doc: doc, Err: err}
 	}
 	return o.Item, nil
@@ -44,7 +44,7 @@
 	if err != nil {
 		return head{}, err
 	}
-	s.remember(doc, h)
+	s.cacheHead(doc, h)
 	return h, nil
 }
 
@@ -82,7 +82,7 @@
 		ExclusiveStartKey:         start,
 	})
 	if err != nil {
-		s.failed(doc, "query", err)
+		s.requestFailed(doc, "query", err)
 		return nil, &UnavailableError{Doc: doc, Err: err}
 	}
 	return o, nil
--- a/io/table/table.go
+++ b/io/table/table.go
@@ -1,13 +1,13 @@
-// Package table keeps documents in the platform's transactional table service, spoken to by the DynamoDB API.
+// Package table stores documents in the platform's transactional table service through the DynamoDB API.
 //
-// An item is one row of one document. The head, row "head", holds the document's revision and the ids of its
-// last transactions, newest first. Each commit is one transaction that moves the head on by one revision, on the
-// condition that it is still where the committer saw it, and writes the changed rows.
+// An item is one row of one document. The head, row "head", contains the document's revision and the ids of its
+// last transactions, newest first. Each commit is one transaction that writes the changed rows and advances the head
+// by one revision, on the condition that the head is still at the revision that the committer read.
 //
-// The history lives in the head, not in a row for each transaction: the head is written anyway, nothing has to be
-// cleaned up later, and the size of a commit isn't reduced. It decides lost replies for the next 32 transactions;
-// past that the txn attribute of the changed rows decides, and when those are overwritten too the outcome is
-// reported as unknown rather than guessed.
+// The history is in the head, not in a row for each transaction: the head is written anyway, no cleanup is needed, and
+// a commit has room for as many changes. It determines the outcome after a lost response for the next 32 transactions.
+// After that the txn attribute of the changed rows determines it. If these are overwritten too, the outcome is
+// reported as unknown.
 package table
 
 import (
@@ -28,24 +28,24 @@
 )
 
 const (
-	// MaxChanges is how many rows one commit may change: the API takes 100 items, and the head is one of them.
+	// MaxChanges is the maximum number of rows in one commit: the API accepts 100 items, and the head is one of them.
 	MaxChanges = 99
 
 	defaultTimeout = 2 * time.Second
-	loadTries      = 5
+	loadAttempts   = 5
 	idleTimeout    = 30 * time.Second
 	maxIdle        = 16
 )
 
-// Options holds what a Store depends on.
+// Options configures a Store.
 type Options struct {
 	Endpoint  string // base URL of the service
-	Region    string // for the signature
+	Region    string // for request signatures
 	Table     string // name of the table
 	AccessKey string
 	SecretKey string
-	Timeout   time.Duration // of one try; 2 s when 0
-	Log       *log.Logger   // the default logger when nil
+	Timeout   time.Duration // of one request; 0 means 2 s
+	Log       *log.Logger   // nil means the default logger
 }
 
 // Store reads and commits documents. It is safe for concurrent use.
@@ -54,12 +54,12 @@
 	client *dynamodb.Client
 	conns  *http.Transport
 
-	mu    sync.Mutex
-	heads map[ident.Doc]head     // newest seen; saves the read before a commit
-	lost  map[ident.Txn]struct{} // transactions of unknown outcome
+	mu            sync.Mutex
+	heads         map[ident.Doc]head     // newest known head of each document; saves the read before a commit
+	unsettledTxns map[ident.Txn]struct{} // transactions of unknown outcome
 }
 
-// New returns a Store; it opens no connection yet.
+// New returns a Store without opening a connection.
 func New(o Options) *Store {
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
@@ -76,12 +76,12 @@
 		BaseEndpoint: aws.String(o.Endpoint),
 		Region:       o.Region,
 		Credentials:  credentials.NewStaticCredentialsProvider(o.AccessKey, o.SecretKey, ""),
-		HTTPClient:   &http.Client{Transport: wholeBody{t}, Timeout: o.Timeout},
-		// A hidden second try would make "certainly not written" a guess, and multiply the load on a
-		// service that is already slow. Tries are counted here and by the caller only.
+		HTTPClient:   &http.Client{Transport: bufferedBody{t}, Timeout: o.Timeout},
+		// A retry inside the SDK could leave an earlier attempt in flight when Commit reports that nothing was
+		// written, and would multiply the load on a slow service. Only this package and its callers retry.
 		Retryer: aws.NopRetryer{},
 	})
-	return &Store{opts: o, client: c, conns: t, heads: map[ident.Doc]head{}, lost: map[ident.Txn]struct{}{}}
+	return &Store{opts: o, client: c, conns: t, heads: map[ident.Doc]head{}, unsettledTxns: map[ident.Txn]struct{}{}}
 }
 
 // Close closes idle connections.
@@ -89,7 +89,7 @@
 	s.conns.CloseIdleConnections()
 }
 
-// Head returns the revision of the document, 0 when there is none.
+// Head returns the revision of the document, or 0 if it does not exist.
 func (s *Store) Head(ctx context.Context, doc ident.Doc) (ident.Rev, error) {
 	h, err := s.readHead(ctx, doc)
 	if err != nil {
@@ -100,14 +100,14 @@
 
 // Load returns the whole document at one revision.
 //
-// A query of several pages may see rows of a transaction committed between two of them. The copy would claim a
-// revision that it holds half of; so the head is read before and after, and must not have moved.
+// A query of several pages may include only some rows of a transaction that is committed between two pages. Load
+// therefore reads the head before and after the query and tries again if the revision has changed.
 func (s *Store) Load(ctx context.Context, doc ident.Doc) (*docs.Doc, error) {
 	h, err := s.readHead(ctx, doc)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	for range loadTries {
+	for range loadAttempts {
 		d, err := s.readRows(ctx, doc)
 		if err != nil {
 			return nil, trace.Wrap(err)
@@ -122,10 +122,10 @@
 		}
 		h = after
 	}
-	return nil, trace.Wrap(&UnavailableError{Doc: doc, Err: errChanging})
+	return nil, trace.Wrap(&UnavailableError{Doc: doc, Err: errConcurrentWrites})
 }
 
-func (s *Store) remember(doc ident.Doc, h head) {
+func (s *Store) cacheHead(doc ident.Doc, h head) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h.rev >= s.heads[doc].rev {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *Store) remembered(doc ident.Doc) (head, bool) {
+func (s *Store) cachedHead(doc ident.Doc) (head, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h, ok := s.heads[doc]
@@ -141,20 +141,20 @@
 }
 
 // unsettled reports whether an earlier call ended with an unknown outcome for the transaction.
-// Without this memory a second call that can't reach the service would call the transaction certainly not written.
+// Without this record, a second call that can't connect would wrongly report that nothing was written.
 func (s *Store) unsettled(t ident.Txn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.lost[t]
+	_, ok := s.unsettledTxns[t]
 	return ok
 }
 
-func (s *Store) setUnsettled(t ident.Txn, lost bool) {
+func (s *Store) setUnsettled(t ident.Txn, unsettled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if lost {
-		s.lost[t] = struct{}{}
+	if unsettled {
+		s.unsettledTxns[t] = struct{}{}
 	} else {
-		delete(s.lost, t)
+		delete(s.unsettledTxns, t)
 	}
 }
--- a/io/table/table_test.go
+++ b/io/table/table_test.go
@@ -18,7 +18,7 @@
 
 const doc ident.Doc = "part/rooster"
 
-// newFake starts a stand-in; a page of few rows makes every load take several.
+// newFake starts a fake table service with 3 rows a page, so that loads need several pages.
 func newFake(t *testing.T) *fakes.Table {
 	f, err := fakes.NewTable(fakes.TableOptions{PageRows: 3})
 	require.NoError(t, err)
@@ -38,7 +38,7 @@
 	return []docs.Change{{Row: ident.Row(row), Body: []byte(body)}}
 }
 
-func set(t *testing.T, f *fakes.Table, x fakes.Faults) {
+func setFaults(t *testing.T, f *fakes.Table, x fakes.Faults) {
 	require.NoError(t, f.SetFaults(x))
 }
 
@@ -65,9 +65,9 @@
 	d, err = newStore(t, f.URL(), time.Second).Load(ctx, doc)
 	require.NoError(t, err)
 	require.Equal(t, ident.Rev(2), d.Rev)
-	require.Len(t, d.Rows, 11, "the head is no row of the document")
+	require.Len(t, d.Rows, 11, "the head is not a row of the document")
 	require.Equal(t, docs.Row{Rev: 1, Body: []byte{4}}, d.Rows["server/4"])
-	require.Equal(t, ident.Rev(2), d.Rows["server/3"].Rev, "a removed row stays, so that deltas carry it")
+	require.Equal(t, ident.Rev(2), d.Rows["server/3"].Rev, "a removed row is kept so that deltas include it")
 	require.Empty(t, d.Rows["server/3"].Body)
 	require.Len(t, d.Names("server/"), 9)
 	h, err := s.Head(ctx, doc)
@@ -75,7 +75,7 @@
 	require.Equal(t, ident.Rev(2), h)
 }
 
-func TestCommitRefusesBadInput(t *testing.T) {
+func TestCommitRejectsInvalidInput(t *testing.T) {
 	s := newStore(t, "http://127.0.0.1:1", time.Second)
 	many := make([]docs.Change, table.MaxChanges+1)
 	var tooMany *table.TooManyError
@@ -100,8 +100,8 @@
 	}
 }
 
-// The most changes that one transaction takes are 99, with the head 100 items.
-func TestCommitOfMostChanges(t *testing.T) {
+// A transaction may have 99 changes: with the head these are 100 items.
+func TestCommitWithMaxChanges(t *testing.T) {
 	f := newFake(t)
 	s := newStore(t, f.URL(), time.Second)
 	l := make([]docs.Change, table.MaxChanges)
@@ -127,10 +127,10 @@
 	}
 }
 
-// Eight committers race for each revision of one document.
-// Each sees either its own revision or a conflict. Exactly one transaction makes each revision, because the
-// condition on the head is checked with the write; the row in force is the last winner's.
-func TestRaceOfCommitters(t *testing.T) {
+// Guards against two transactions writing the same revision. Eight committers race for each revision of one document;
+// each gets its own revision or a conflict, because the condition on the head is checked with the write. The row
+// then has the value of the last successful transaction.
+func TestConcurrentCommits(t *testing.T) {
 	f := newFake(t)
 	const committers, rounds = 8, 20
 	var mu sync.Mutex
@@ -198,7 +198,7 @@
 			continue
 		}
 		require.NoError(t, err)
-		require.Equal(t, d.Body("a"), d.Body("z"), "half of a transaction")
+		require.Equal(t, d.Body("a"), d.Body("z"), "loaded part of a transaction")
 		if d.Rev > 0 {
 			require.Equal(t, fmt.Sprint(d.Rev), string(d.Body("a")))
 		}
